--- a/emulator/internal/world_private.h
+++ b/emulator/internal/world_private.h
@@ -121,12 +121,12 @@
     char *writer;
     char *text;      /* after, member, address or worker */
     char *address;   /* of the worker that an order goes to */
-    int64_t born_ms; /* of the life there that got it first; 0 none yet */
+    int64_t boot_ms; /* of the life there that got it first; 0 none yet */
     GArray *records;
     GPtrArray *bytes;
     struct cw_store_append append;
     struct cw_store_read read;
-    struct cw_store_newest newest;
+    struct cw_store_read_newest newest;
     struct cw_store_join join;
     struct cw_store_leave leave;
     struct cw_target_order order;
@@ -134,10 +134,10 @@
     char *payload;
     char *saved;
     /* results */
-    struct cw_store_appended appended;
+    struct cw_store_append_result appended;
     struct store_model_page page;
     bool has_page;
-    struct cw_store_joined joined;
+    struct cw_store_join_result joined;
     unsigned partition;
     struct cw_target_answer answer;
     GArray *running;
@@ -215,8 +215,8 @@
 
 /* When the worker's life began, as it tells; 0 on days on which each life has
  * an id of its own. */
-int64_t world_told_born_ms(const struct world *world,
-                           const struct worker_model *worker);
+int64_t world_reported_boot_ms(const struct world *world,
+                               const struct worker_model *worker);
 
 /* A worker that is down is back under its id. */
 void world_worker_again(struct world *world, void *worker_model);
--- a/emulator/judge.c
+++ b/emulator/judge.c
@@ -366,7 +366,7 @@
     if (how == CW_END_KIND_DONE) {
         truth->done++;
     }
-    if (how == CW_END_KIND_ALONE && calm) {
+    if (how == CW_END_KIND_GANG_INCOMPLETE && calm) {
         violate_task(judge, "GANG", task, run);
     }
 }
--- a/emulator/store_model.c
+++ b/emulator/store_model.c
@@ -16,7 +16,7 @@
 /* An append of a fenced writer, to answer its repetition. */
 struct recent {
     uint64_t sequence;
-    struct cw_store_appended result;
+    struct cw_store_append_result result;
 };
 
 struct writer {
@@ -164,7 +164,7 @@
 /* Decides an append of a fenced writer; true if it goes on. */
 static bool
 admit_writer(struct writer *writer, const struct cw_store_append *call,
-             struct cw_store_appended *result)
+             struct cw_store_append_result *result)
 {
     if (writer->any && call->epoch < writer->epoch) {
         result->status = CW_STORE_FENCED;
@@ -183,7 +183,7 @@
         }
     }
     if (call->sequence != writer->next_sequence) {
-        result->status = CW_STORE_SEQUENCE;
+        result->status = CW_STORE_OUT_OF_SEQUENCE;
         result->expected_sequence = writer->next_sequence;
         return false;
     }
@@ -192,7 +192,7 @@
 
 static void
 note_writer(struct writer *writer, const struct cw_store_append *call,
-            const struct cw_store_appended *result)
+            const struct cw_store_append_result *result)
 {
     struct recent *recent = g_new0(struct recent, 1);
 
@@ -225,14 +225,14 @@
     g_ptr_array_add(topic->records, stored);
 }
 
-struct cw_store_appended
+struct cw_store_append_result
 store_model_append(struct store_model *model,
                    const struct cw_store_append *call)
 {
     struct topic *topic = topic_of(model, call->topic);
     struct writer *writer =
         call->writer != NULL ? writer_of(topic, call->writer) : NULL;
-    struct cw_store_appended result = {.status = CW_STORE_OK};
+    struct cw_store_append_result result = {.status = CW_STORE_OK};
 
     if (writer != NULL && !admit_writer(writer, call, &result)) {
         return result;
--- a/emulator/store_model.h
+++ b/emulator/store_model.h
@@ -17,7 +17,7 @@
 void store_model_free(struct store_model *model);
 
 /* What an append leads to; nothing is changed unless it is CW_STORE_OK. */
-struct cw_store_appended
+struct cw_store_append_result
 store_model_append(struct store_model *model,
                    const struct cw_store_append *call);
 
--- a/emulator/worker_model.c
+++ b/emulator/worker_model.c
@@ -48,7 +48,7 @@
     struct cw_resources larger; /* what it had before it shrank */
     int64_t shrunk_ms;          /* when it shrank; fleet's time */
     int64_t clock_ms;           /* its clock at time 0 of the fleet's */
-    int64_t born_ms;            /* when this life began, its time of day */
+    int64_t boot_ms;            /* when this life began, its time of day */
     bool dead;
     double speed;
     uint64_t fence;
@@ -151,7 +151,7 @@
     worker->rack = g_strdup(rack);
     worker->capacity = *capacity;
     worker->clock_ms = clock_ms;
-    worker->born_ms = born_now_ms(fleet);
+    worker->boot_ms = born_now_ms(fleet);
     worker->speed = 1;
     worker->runs = g_ptr_array_new_with_free_func(run_free);
     worker->ends = g_ptr_array_new_with_free_func(end_free);
@@ -181,7 +181,7 @@
     g_assert(worker->dead && worker->runs->len == 0);
     worker->dead = false;
     worker->clock_ms = clock_ms - worker->fleet->now_ms;
-    worker->born_ms = born_now_ms(worker->fleet);
+    worker->boot_ms = born_now_ms(worker->fleet);
     worker->fence = 0;
     worker->lease_end_ms = 0;
     worker->lease_live = false;
@@ -299,9 +299,9 @@
 }
 
 int64_t
-worker_model_born_ms(const struct worker_model *worker)
+worker_model_boot_ms(const struct worker_model *worker)
 {
-    return worker->born_ms;
+    return worker->boot_ms;
 }
 
 unsigned
@@ -373,7 +373,7 @@
 lapse_all(struct worker_model *worker)
 {
     while (worker->runs->len > 0) {
-        end_run(worker, worker->runs->pdata[0], CW_END_KIND_LAPSED);
+        end_run(worker, worker->runs->pdata[0], CW_END_KIND_LEASE_EXPIRED);
     }
 }
 
@@ -475,7 +475,7 @@
         copy.job = job;
         end_run(worker, run, CW_END_KIND_STOPPED);
         if (gang) {
-            end_gang(fleet, &copy, CW_END_KIND_BROKEN);
+            end_gang(fleet, &copy, CW_END_KIND_GANG_BROKEN);
         }
         g_free(job);
         return true;
@@ -483,7 +483,7 @@
     if (gang && !run->whole) {
         run->whole = gang_present(fleet, run) == run->plan.members;
         if (!run->whole && fleet->now_ms - run->started_ms > GANG_WAIT_MS) {
-            end_run(worker, run, CW_END_KIND_ALONE);
+            end_run(worker, run, CW_END_KIND_GANG_INCOMPLETE);
             return true;
         }
         return false;
@@ -504,7 +504,7 @@
 
         copy.job = job;
         end_run(worker, run, how);
-        end_gang(fleet, &copy, CW_END_KIND_BROKEN);
+        end_gang(fleet, &copy, CW_END_KIND_GANG_BROKEN);
         g_free(job);
     }
     else {
@@ -679,7 +679,7 @@
     if (!worker->fleet->unguarded &&
         !has_room(worker, &plan.need, &worker->capacity))
     {
-        return CW_TARGET_NO_ROOM;
+        return CW_TARGET_NO_CAPACITY;
     }
     if (is_crowded(worker, &plan.need)) {
         listener->crowded(listener->context, worker->id, &order->task,
@@ -774,7 +774,7 @@
     memset(answer, 0, sizeof(*answer));
     answer->clock_ms = worker_clock(worker);
     if (strcmp(order->id, worker->id) != 0) {
-        answer->status = CW_TARGET_OTHER_LIFE;
+        answer->status = CW_TARGET_OTHER_INCARNATION;
         return;
     }
     if (order->fence < worker->fence) {
@@ -794,7 +794,7 @@
     confirm_ends(worker, order->acked);
     list_runs(worker, running, ended, texts);
     answer->status = CW_TARGET_OK;
-    answer->born_ms = worker->born_ms;
+    answer->boot_ms = worker->boot_ms;
     answer->running = (const struct cw_running *)running->data;
     answer->running_count = running->len;
     answer->ended = (const struct cw_ended *)ended->data;
--- a/emulator/worker_model.h
+++ b/emulator/worker_model.h
@@ -95,7 +95,7 @@
 struct cw_resources worker_model_free(const struct worker_model *worker);
 
 /* When its present life began, by its time of day. */
-int64_t worker_model_born_ms(const struct worker_model *worker);
+int64_t worker_model_boot_ms(const struct worker_model *worker);
 unsigned worker_model_running(const struct worker_model *worker);
 
 /* Its room shrinks, or grows again; what runs goes on. */
--- a/emulator/world.c
+++ b/emulator/world.c
@@ -56,7 +56,7 @@
                " %63s %" SCNd64,
                rack, &report.capacity.cpu_milli, &report.capacity.memory_mb,
                &report.capacity.accelerators, &draining, &report.clock_ms,
-               address, &report.born_ms) == 8;
+               address, &report.boot_ms) == 8;
 
     report.rack = rack;
     world_dc_of_rack(rack, dc, sizeof(dc));
@@ -95,12 +95,13 @@
         struct cw_store_append append = {
             .topic = TARGETS_TOPIC, .records = &record, .count = 1};
 
-        g_snprintf(
-            text, sizeof(text),
-            "%s %" PRId64 " %" PRId64 " %" PRId64 " %d 0 %s %" PRId64,
-            worker_model_rack(worker), has->cpu_milli, has->memory_mb,
-            has->accelerators, g_hash_table_contains(world->draining, id),
-            worker_model_address(worker), world_told_born_ms(world, worker));
+        g_snprintf(text, sizeof(text),
+                   "%s %" PRId64 " %" PRId64 " %" PRId64 " %d 0 %s %" PRId64,
+                   worker_model_rack(worker), has->cpu_milli, has->memory_mb,
+                   has->accelerators,
+                   g_hash_table_contains(world->draining, id),
+                   worker_model_address(worker),
+                   world_reported_boot_ms(world, worker));
         record.length = strlen(text);
         if (worker_model_dead(worker)) {
             record.value = NULL;
@@ -124,7 +125,7 @@
         for (guint i = 0; vm->alive && i < jobs->len; i++) {
             const struct judge_job *job = jobs->pdata[i];
             const struct cw_replica_job *known =
-                cw_replica_find(vm->replica, job->id);
+                cw_replica_find_job(vm->replica, job->id);
 
             if (known != NULL && known->spec != NULL) {
                 judge_shown(world->judge, job->id, cw_replica_phase(known));
@@ -144,7 +145,7 @@
         const struct judge_job *job = jobs->pdata[i];
         struct vm *vm = world_any_vm(world);
         const struct cw_replica_job *known =
-            vm->alive ? cw_replica_find(vm->replica, job->id) : NULL;
+            vm->alive ? cw_replica_find_job(vm->replica, job->id) : NULL;
         int phase = known != NULL && known->spec != NULL
                         ? (int)cw_replica_phase(known)
                         : -1;
@@ -313,7 +314,7 @@
     struct cw_account *account = add_account(routing, "a");
 
     routing->version = 1;
-    routing->confined = true;
+    routing->enforces_residency = true;
     account->guaranteed_accelerators = 64;
     account = add_account(routing, "confined");
     g_ptr_array_add(account->dcs, g_strdup("d0"));
@@ -332,9 +333,9 @@
         struct cw_service *service = cw_routing_add_service(routing);
 
         service->name = g_strdup("s");
-        service->guards_capacity = false;
+        service->enforces_capacity = false;
     }
-    cw_routing_seal(routing);
+    cw_routing_finish(routing);
     return routing;
 }
 
--- a/emulator/world_call.c
+++ b/emulator/world_call.c
@@ -46,9 +46,9 @@
 void
 world_call_answer(struct call *call, enum cw_store_status status)
 {
-    struct cw_store_appended appended = {.status = status};
+    struct cw_store_append_result appended = {.status = status};
     struct cw_store_page page = {.status = status};
-    struct cw_store_joined joined = {.status = status};
+    struct cw_store_join_result joined = {.status = status};
     struct cw_target_answer answer = {.status = CW_TARGET_UNKNOWN};
     bool ok = status == CW_STORE_OK;
     double began;
--- a/emulator/world_faults.c
+++ b/emulator/world_faults.c
@@ -94,7 +94,7 @@
 fault_compact(struct world *world)
 {
     world_note(world, "compact");
-    store_model_compact(world->store, CW_WORK_TOPIC);
+    store_model_compact(world->store, CW_JOBS_TOPIC);
     store_model_compact(world->store, CW_STATE_TOPIC);
     store_model_compact(world->store, TARGETS_TOPIC);
     store_model_compact(world->store, ORDERS_TOPIC);
--- a/emulator/world_load.c
+++ b/emulator/world_load.c
@@ -31,7 +31,8 @@
     struct client_call *call = context;
     struct world *world = call->world;
     struct judge_job *job = call->job;
-    bool again = outcome == CW_ENTRY_NOT_DONE || outcome == CW_ENTRY_UNSURE;
+    bool again =
+        outcome == CW_ENTRY_NOT_DONE || outcome == CW_ENTRY_UNCONFIRMED;
 
     g_ptr_array_remove_fast(call->vm->clients, call);
     if (world->options.trace) {
@@ -48,7 +49,7 @@
     else {
         job->accepted = job->accepted || outcome == CW_ENTRY_STORED;
         job->refused = job->refused && outcome == CW_ENTRY_NOT_DONE;
-        job->possible = job->possible || outcome == CW_ENTRY_UNSURE;
+        job->possible = job->possible || outcome == CW_ENTRY_UNCONFIRMED;
     }
     if (again && call->tries < CLIENT_TRIES) {
         call->tries++;
@@ -141,7 +142,7 @@
 world_client_cancel(struct world *world, void *context)
 {
     struct client_call *call = context;
-    struct cw_entry_place place = {0};
+    struct cw_entry_route place = {0};
     char *path;
 
     if (!find_vm(world, call)) {
@@ -150,8 +151,8 @@
     call->job->cancel_sent = true;
     path =
         g_strdup_printf("/q%u/%s", call->job->spec->priority, call->job->id);
-    cw_entry_locate(call->vm->entry, "h", path, call->job->spec->account,
-                    &place);
+    cw_entry_resolve(call->vm->entry, "h", path, call->job->spec->account,
+                     &place);
     cw_entry_cancel(call->vm->entry, &place, CLIENT_BUDGET_MS,
                     on_client_answer, call);
     g_free(path);
--- a/emulator/world_net.c
+++ b/emulator/world_net.c
@@ -246,7 +246,7 @@
 }
 
 static void
-port_newest(struct cw_store *store, const struct cw_store_newest *newest)
+port_newest(struct cw_store *store, const struct cw_store_read_newest *newest)
 {
     struct call *call =
         world_call_new((struct vm *)store, CALL_NEWEST, newest->timeout_ms);
@@ -302,12 +302,12 @@
 static bool
 went_with_its_life(struct call *call, const struct worker_model *worker)
 {
-    int64_t born_ms = worker_model_born_ms(worker);
+    int64_t boot_ms = worker_model_boot_ms(worker);
 
-    if (call->born_ms == 0) {
-        call->born_ms = born_ms;
+    if (call->boot_ms == 0) {
+        call->boot_ms = boot_ms;
     }
-    return call->born_ms != born_ms;
+    return call->boot_ms != boot_ms;
 }
 
 /* Carries the order out; its answer goes back unless something is cut. */
@@ -328,8 +328,8 @@
     g_array_set_size(call->ended_rows, 0);
     worker_model_order(worker, &call->order, world->now_ms, &call->answer,
                        call->running, call->ended_rows, call->bytes);
-    call->answer.born_ms = world_told_born_ms(world, worker);
-    if (call->kind == CALL_ORDER && call->order.kind == CW_ORDER_HOLD &&
+    call->answer.boot_ms = world_reported_boot_ms(world, worker);
+    if (call->kind == CALL_ORDER && call->order.kind == CW_ORDER_POLL &&
         call->answer.status == CW_TARGET_OK && call->answer.ended_count == 0 &&
         world->now_ms < call->wait_until_ms && !call->ended)
     {
@@ -389,7 +389,7 @@
         if (worker == NULL) {
             return; /* there is none that could carry it out */
         }
-        call->born_ms = worker_model_born_ms(worker);
+        call->boot_ms = worker_model_boot_ms(worker);
         hold_event(world, call, world_between(world, 2000, 9000),
                    arrive_order);
         return;
--- a/emulator/world_restarts.c
+++ b/emulator/world_restarts.c
@@ -36,10 +36,10 @@
 }
 
 int64_t
-world_told_born_ms(const struct world *world,
-                   const struct worker_model *worker)
+world_reported_boot_ms(const struct world *world,
+                       const struct worker_model *worker)
 {
-    return world->options.restarts > 0 ? worker_model_born_ms(worker) : 0;
+    return world->options.restarts > 0 ? worker_model_boot_ms(worker) : 0;
 }
 
 static void
--- a/emulator/world_vms.c
+++ b/emulator/world_vms.c
@@ -80,7 +80,7 @@
     vm->cordons = cw_cordons_create(&cordons);
     orders.handler.context = vm->cordons;
     vm->orders = cw_follower_create(&orders);
-    cw_cordons_follow(vm->cordons, vm->orders);
+    cw_cordons_set_follower(vm->cordons, vm->orders);
 }
 
 void
@@ -93,7 +93,8 @@
         world->options.strong == 0 || vm->index < world->options.strong;
     struct cw_replica_options replica = {.store = &vm->store,
                                          .clock = &world->clock.base,
-                                         .pace_ms = CW_STANDBY_PACE_MS};
+                                         .read_interval_ms =
+                                             CW_STANDBY_READ_INTERVAL_MS};
     struct cw_entry_options entry = {.store = &vm->store,
                                      .clock = &world->clock.base,
                                      .counters = &vm->counters};
--- a/include/curlewcart/cw_api.h
+++ b/include/curlewcart/cw_api.h
@@ -25,7 +25,7 @@
     struct cw_replica *replica;
     struct cw_owner *owner;
     struct cw_counters *counters;
-    pthread_mutex_t *engine;
+    pthread_mutex_t *engine_lock;
     struct cw_chain_options chain;
     const unsigned char *operator_token_hash; /* CW_HASH_BYTES */
     /* A bundle came into force; with the engine's lock held. */
@@ -46,9 +46,9 @@
 struct timespec cw_api_tick(struct cw_api *api, struct timespec now);
 
 /* Calls that wait for an outcome. */
-unsigned cw_api_waiting(struct cw_api *api);
+unsigned cw_api_waiting_calls(struct cw_api *api);
 
 /* Answers all of them as pending; the VM stops. */
-void cw_api_release(struct cw_api *api);
+void cw_api_answer_all_pending(struct cw_api *api);
 
 #endif
--- a/include/curlewcart/cw_bytes.h
+++ b/include/curlewcart/cw_bytes.h
@@ -6,7 +6,7 @@
 
 /* The number that `count` bytes hold, 8 at the most. */
 static inline uint64_t
-cw_bytes_number(const uint8_t *bytes, unsigned count)
+cw_bytes_read_be(const uint8_t *bytes, unsigned count)
 {
     uint64_t value = 0;
 
--- a/include/curlewcart/cw_cordons.h
+++ b/include/curlewcart/cw_cordons.h
@@ -31,8 +31,8 @@
 void cw_cordons_free(struct cw_cordons *cordons);
 
 /* The follower whose handler gives the three calls below.  Borrowed. */
-void
-cw_cordons_follow(struct cw_cordons *cordons, struct cw_follower *follower);
+void cw_cordons_set_follower(struct cw_cordons *cordons,
+                             struct cw_follower *follower);
 
 /* For the follower's handler; `cordons` is a struct cw_cordons. */
 void cw_cordons_reset(void *cordons);
@@ -45,7 +45,7 @@
                           struct timespec now);
 
 /* True if work may be started there, as far as is known. */
-bool cw_cordons_permit(const struct cw_cordons *cordons, const char *dc);
+bool cw_cordons_permits_dc(const struct cw_cordons *cordons, const char *dc);
 
 /* How many data centres are cordoned. */
 unsigned cw_cordons_count(const struct cw_cordons *cordons);
@@ -56,6 +56,6 @@
 cw_cordons_staleness_ms(const struct cw_cordons *cordons, struct timespec now);
 
 /* Reads at once what operators have ordered. */
-void cw_cordons_hurry(struct cw_cordons *cordons);
+void cw_cordons_read_now(struct cw_cordons *cordons);
 
 #endif
--- a/include/curlewcart/cw_follower.h
+++ b/include/curlewcart/cw_follower.h
@@ -33,7 +33,7 @@
     const char *topic; /* borrowed, static */
     unsigned partition;
     unsigned wait_ms; /* how long a read waits at the store; 0: it polls */
-    unsigned pace_ms; /* least time from an answer to the next read */
+    unsigned read_interval_ms; /* least time from an answer to the next read */
     struct cw_follower_handler handler;
 };
 
@@ -59,7 +59,7 @@
 
 /* When the newest read that reached the end was sent: what was appended
  * before it is known here. */
-struct timespec cw_follower_fresh(const struct cw_follower *follower);
+struct timespec cw_follower_fresh_as_of(const struct cw_follower *follower);
 
 /* True if the last answer reached the end of the partition: what it lacks
  * was appended since, or is about to be told by a read that waits. */
@@ -69,9 +69,10 @@
  * has told: it holds a read that waits for the next record. */
 bool cw_follower_is_current(const struct cw_follower *follower);
 
-void cw_follower_set_pace(struct cw_follower *follower, unsigned pace_ms);
+void cw_follower_set_read_interval(struct cw_follower *follower,
+                                   unsigned read_interval_ms);
 
 /* Reads at once, without waiting for records. */
-void cw_follower_hurry(struct cw_follower *follower);
+void cw_follower_read_now(struct cw_follower *follower);
 
 #endif
--- a/include/curlewcart/cw_headroom.h
+++ b/include/curlewcart/cw_headroom.h
@@ -10,9 +10,10 @@
 
 /* Of one pool; zero-initialise, then cw_headroom_init. */
 struct cw_headroom {
-    struct timespec at; /* of the last observation */
-    double peak;        /* accelerators that urgent work held, decaying */
-    double arrived;     /* accelerators that urgent jobs asked for, decaying */
+    struct timespec observed_at; /* of the last observation */
+    double peak;            /* accelerators that urgent work held, decaying */
+    double recent_arrivals; /* accelerators that urgent jobs asked for,
+                               decaying */
 };
 
 void cw_headroom_init(struct cw_headroom *headroom, struct timespec now);
@@ -26,10 +27,10 @@
 
 /* Accelerators that urgent work will ask for before others can be made to
  * leave, at the present rate. */
-double cw_headroom_arriving(const struct cw_headroom *headroom);
+double cw_headroom_expected_arrivals(const struct cw_headroom *headroom);
 
 /* Accelerators to keep free of lower work: what urgent work held lately, and
  * what may arrive before others can be made to leave. */
-double cw_headroom_kept(const struct cw_headroom *headroom);
+double cw_headroom_reserved(const struct cw_headroom *headroom);
 
 #endif
--- a/include/curlewcart/cw_http_client.h
+++ b/include/curlewcart/cw_http_client.h
@@ -6,7 +6,7 @@
 #include <stddef.h>
 
 /* Connections that a client keeps open unless told otherwise. */
-#define CW_HTTP_CONNECTIONS 1024
+#define CW_HTTP_POOL_CONNECTIONS_DEFAULT 1024
 
 struct cw_http_client;
 
@@ -47,7 +47,8 @@
     int descriptor;
     void (*readable)(void *context);
     void *context;
-    unsigned connections_most; /* kept open; 0: CW_HTTP_CONNECTIONS */
+    unsigned pool_connections_max; /* kept open; 0:
+                                      CW_HTTP_POOL_CONNECTIONS_DEFAULT */
 };
 
 /* Starts the thread; `options` may be NULL.  NULL on failure. */
--- a/include/curlewcart/cw_http_server.h
+++ b/include/curlewcart/cw_http_server.h
@@ -13,9 +13,9 @@
     const char *address; /* IP */
     uint16_t port;       /* 0: chosen by the kernel */
     unsigned threads;
-    unsigned connections; /* at a time; more are closed */
-    unsigned idle_s;      /* a stalled connection is closed after this */
-    size_t body_max;
+    unsigned connections;    /* at a time; more are closed */
+    unsigned idle_timeout_s; /* a stalled connection is closed after this */
+    size_t body_bytes_max;
     const char *tls_certificate; /* PEM text, or NULL for plain HTTP */
     const char *tls_key;         /* PEM text */
     /* Handles a call, on one of the server's threads.  It must lead to
@@ -36,7 +36,7 @@
 void cw_http_server_free(struct cw_http_server *server);
 
 /* From now on every answer asks the caller to close its connection. */
-void cw_http_server_leave(struct cw_http_server *server);
+void cw_http_server_disable_keepalive(struct cw_http_server *server);
 
 /* Accepts no more connections; those that callers have made already, seen
  * here or not, go on. */
@@ -44,7 +44,7 @@
 
 /* Calls of which a part was read and whose answer is not sent whole yet.
  * Safe from any thread. */
-unsigned cw_http_server_calls(struct cw_http_server *server);
+unsigned cw_http_server_active_calls(struct cw_http_server *server);
 
 /* Port listened on. */
 uint16_t cw_http_server_port(const struct cw_http_server *server);
@@ -57,7 +57,7 @@
 const char *cw_http_call_body(const struct cw_http_call *call, size_t *length);
 
 /* What `mark` returned for the call's connection; 0 without. */
-int64_t cw_http_call_mark(const struct cw_http_call *call);
+int64_t cw_http_call_connection_tag(const struct cw_http_call *call);
 
 /* True if the body exceeded the limit (it was not kept). */
 bool cw_http_call_too_large(const struct cw_http_call *call);
--- a/include/curlewcart/cw_idle.h
+++ b/include/curlewcart/cw_idle.h
@@ -18,20 +18,20 @@
 /* A job of which nothing runs; zero-initialise, then cw_idle_begin. */
 struct cw_idle {
     struct timespec since;
-    struct timespec room_since; /* there has been room for it at each look; 0:
+    struct timespec free_since; /* there has been room for it at each look; 0:
                                    not at the last one */
-    struct timespec offered_since; /* the same, but for short gaps */
-    struct timespec offered_at;    /* the last look that found room */
+    struct timespec available_since; /* the same, but for short gaps */
+    struct timespec last_free_at;    /* the last look that found room */
 };
 
 /* Nothing of the job runs from now on. */
 void cw_idle_begin(struct cw_idle *idle, struct timespec now);
 
 /* Workers have, or have not, room for the job twice over by their own word. */
-void cw_idle_look(struct cw_idle *idle, bool has_room, struct timespec now);
+void cw_idle_check(struct cw_idle *idle, bool has_room, struct timespec now);
 
 /* Milliseconds since there has been room at each look; 0 if there is none. */
-int64_t cw_idle_room_ms(const struct cw_idle *idle, struct timespec now);
+int64_t cw_idle_free_ms(const struct cw_idle *idle, struct timespec now);
 
 /* True if nothing may be withheld from the job any more. */
 bool cw_idle_is_overdue(const struct cw_idle *idle, struct timespec now);
--- a/include/curlewcart/cw_owner.h
+++ b/include/curlewcart/cw_owner.h
@@ -35,19 +35,19 @@
     struct cw_clock *clock;
     struct cw_replica *replica;
     struct cw_counters *counters;
-    const char *vm;           /* name of this VM; copied */
-    const char *member;       /* of this process's life; copied */
-    unsigned partition;       /* the shard */
-    unsigned member_ttl_ms;   /* the store forgets a silent member after it */
-    unsigned lease_ms;        /* longest lease that workers grant */
-    unsigned standby_pace_ms; /* of the log while another VM decides; 0:
-                                 CW_STANDBY_PACE_MS */
-    unsigned retain_ms;       /* ended jobs are known at least so long */
-    unsigned capacity_milli;  /* this VM's processor, thousandths of a core;
-                                 0: as any other */
-    bool tells_places;        /* callers may ask where their jobs ran */
-    unsigned connections;     /* that this VM can keep open; 0: any number */
-    unsigned report_ms;       /* workers report so often; 0: each 1.5 s */
+    const char *vm;         /* name of this VM; copied */
+    const char *member;     /* of this process's life; copied */
+    unsigned partition;     /* the shard */
+    unsigned member_ttl_ms; /* the store forgets a silent member after it */
+    unsigned lease_ms;      /* longest lease that workers grant */
+    unsigned standby_read_interval_ms; /* of the log while another VM decides;
+                                 0: CW_STANDBY_READ_INTERVAL_MS */
+    unsigned retain_ms;         /* ended jobs are known at least so long */
+    unsigned capacity_milli;    /* this VM's processor, thousandths of a core;
+                                   0: as any other */
+    bool exposes_placements;    /* callers may ask where their jobs ran */
+    unsigned connections_max;   /* that this VM can keep open; 0: any number */
+    unsigned report_ms;         /* workers report so often; 0: each 1.5 s */
     struct cw_cordons *cordons; /* or NULL: operators give no such orders */
     unsigned cordon_ms; /* nothing is started in a data centre later than so
                            long after its cordon; 0: no such bound */
--- a/include/curlewcart/cw_relay.h
+++ b/include/curlewcart/cw_relay.h
@@ -10,7 +10,7 @@
  * reach a VM's inner port but not the store can neither read nor write.
  *
  * All functions are called with the engine's lock held, but for
- * cw_relay_readable, which takes it.
+ * cw_relay_receive, which takes it.
  */
 #ifndef CURLEWCART_CW_RELAY_H
 #define CURLEWCART_CW_RELAY_H
@@ -27,7 +27,7 @@
     struct cw_store *direct; /* the platform's; borrowed */
     struct cw_clock *clock;
     struct cw_counters *counters;
-    pthread_mutex_t *engine;
+    pthread_mutex_t *engine_lock;
     const char *address; /* HOST:PORT to listen on */
     const char *group;   /* whose members are the VMs */
 };
@@ -49,16 +49,16 @@
 int cw_relay_descriptor(const struct cw_relay *relay);
 
 /* Takes what has come. */
-void cw_relay_readable(struct cw_relay *relay);
+void cw_relay_receive(struct cw_relay *relay);
 
 /* Does what is due; returns when it wants to be called next. */
 struct timespec cw_relay_tick(struct cw_relay *relay, struct timespec now);
 
 /* Name of a member of the group that tells where its VM listens.  Owned by
  * the caller. */
-char *cw_relay_member(const char *vm, const char *address, uint64_t life);
+char *cw_relay_member_name(const char *vm, const char *address, uint64_t life);
 
 /* True if neither the store nor another VM has answered lately. */
-bool cw_relay_isolated(const struct cw_relay *relay);
+bool cw_relay_is_isolated(const struct cw_relay *relay);
 
 #endif
--- a/include/curlewcart/cw_replica.h
+++ b/include/curlewcart/cw_replica.h
@@ -22,15 +22,15 @@
 #include "curlewcart/cw_work.h"
 
 /* The topic that jobs are kept in; a shard is one partition of it. */
-#define CW_WORK_TOPIC "keyed.jobs"
+#define CW_JOBS_TOPIC "keyed.jobs"
 
 /* Least time between two reads of it: an owner starts work soon; a standby
  * that holds callers until their work is over tells them within a fifth of a
- * second; one whose callers ask looks when they do (cw_entry_ask), and reads
- * in between only so that it can take over. */
-#define CW_OWNER_PACE_MS 5
-#define CW_STANDBY_PACE_MS 150
-#define CW_ASKED_PACE_MS 500
+ * second; one whose callers ask looks when they do (cw_entry_query_fresh), and
+ * reads in between only so that it can take over. */
+#define CW_OWNER_READ_INTERVAL_MS 5
+#define CW_STANDBY_READ_INTERVAL_MS 150
+#define CW_ON_DEMAND_READ_INTERVAL_MS 500
 
 /* What is known of a job. */
 struct cw_replica_job {
@@ -53,7 +53,7 @@
 /* A worker whose lease the owner that wrote so extends no more, and none after
  * it, until the note is dropped.  Reading is later than writing: the lease is
  * over `left_ms` after `read_at`, on this VM's clock. */
-struct cw_replica_note {
+struct cw_replica_lease_note {
     uint64_t offset;
     struct timespec read_at;
     unsigned left_ms;
@@ -74,20 +74,20 @@
 };
 
 /* True if the VM has said so of the last epoch under which it decided. */
-bool cw_replica_epoch_is_over(const struct cw_replica_epoch *epoch);
+bool cw_replica_epoch_has_ended(const struct cw_replica_epoch *epoch);
 
 /* How long after `end_read_at` the worker's lease may last, if that VM gave
  * it; NULL: any worker's. */
-int64_t cw_replica_epoch_left_ms(const struct cw_replica_epoch *epoch,
-                                 const char *worker);
+int64_t cw_replica_epoch_lease_left_ms(const struct cw_replica_epoch *epoch,
+                                       const char *worker);
 
 /* Who hears of changes; members may be NULL. */
 struct cw_replica_listener {
     /* A job's specification or cancellation was read. */
-    void (*changed)(void *context, struct cw_replica_job *job);
+    void (*job_changed)(void *context, struct cw_replica_job *job);
     /* A former owner tells ends of the job that it could not store. */
-    void (*hinted)(void *context, const struct cw_replica_job *job,
-                   const struct cw_hint_record *hint);
+    void (*hint_received)(void *context, const struct cw_replica_job *job,
+                          const struct cw_hint_record *hint);
     /* A read was answered: everything up to the position is folded. */
     void (*advanced)(void *context);
     /* A VM has announced its processor, in thousandths of a core. */
@@ -97,7 +97,7 @@
     void (*epoch_began)(void *context, uint64_t epoch);
     void (*epoch_ended)(void *context, const char *vm);
     /* A record of an owner was read. */
-    void (*owner_wrote)(void *context);
+    void (*owner_record_received)(void *context);
     void *context;
 };
 
@@ -105,7 +105,7 @@
     struct cw_store *store;
     struct cw_clock *clock;
     unsigned partition;
-    unsigned pace_ms;
+    unsigned read_interval_ms;
 };
 
 struct cw_replica;
@@ -119,13 +119,13 @@
 
 /* A job by id, or NULL.  Borrowed until its records are dropped. */
 struct cw_replica_job *
-cw_replica_find(const struct cw_replica *replica, const char *id);
+cw_replica_find_job(const struct cw_replica *replica, const char *id);
 
 /* All jobs: id -> struct cw_replica_job.  Borrowed. */
 GHashTable *cw_replica_jobs(const struct cw_replica *replica);
 
-/* All notes: worker -> struct cw_replica_note.  Borrowed. */
-GHashTable *cw_replica_notes(const struct cw_replica *replica);
+/* All notes: worker -> struct cw_replica_lease_note.  Borrowed. */
+GHashTable *cw_replica_lease_notes(const struct cw_replica *replica);
 
 /* All epochs: VM -> struct cw_replica_epoch.  Borrowed. */
 GHashTable *cw_replica_epochs(const struct cw_replica *replica);
@@ -139,7 +139,7 @@
 
 /* Jobs of which no task has been started, of a queue and an account; NULL:
  * of any. */
-unsigned cw_replica_waiting(const struct cw_replica *replica,
-                            const char *queue, const char *account);
+unsigned cw_replica_count_waiting(const struct cw_replica *replica,
+                                  const char *queue, const char *account);
 
 #endif
--- a/include/curlewcart/cw_routing.h
+++ b/include/curlewcart/cw_routing.h
@@ -34,26 +34,27 @@
 /* A pool of workers. */
 struct cw_service {
     char *name;
-    bool guards_capacity; /* its workers refuse what does not fit */
-    bool standby;         /* its machines are off */
+    bool enforces_capacity; /* its workers refuse what does not fit */
+    bool standby;           /* its machines are off */
 };
 
 struct cw_routing {
     gint references;
     uint64_t version;
     unsigned body_bytes_max;
-    bool confined;     /* accounts name where their data may live; one that is
-                          not listed runs nowhere */
-    GPtrArray *closed; /* char *: data centres that take no new work */
-    GPtrArray *queues; /* struct cw_queue */
-    GPtrArray *services; /* struct cw_service */
-    GPtrArray *accounts; /* struct cw_account */
-    GHashTable *by_key;  /* credential -> struct cw_account, borrowed */
+    bool enforces_residency; /* accounts name where their data may live; one
+                      that is not listed runs nowhere */
+    GPtrArray *closed_dcs;   /* char *: data centres that take no new work */
+    GPtrArray *queues;       /* struct cw_queue */
+    GPtrArray *services;     /* struct cw_service */
+    GPtrArray *accounts;     /* struct cw_account */
+    GHashTable
+        *accounts_by_key; /* credential -> struct cw_account, borrowed */
 };
 
-/* Empty configuration; fill it, then call cw_routing_seal once. */
+/* Empty configuration; fill it, then call cw_routing_finish once. */
 struct cw_routing *cw_routing_new(void);
-void cw_routing_seal(struct cw_routing *routing);
+void cw_routing_finish(struct cw_routing *routing);
 
 struct cw_routing *cw_routing_ref(struct cw_routing *routing);
 void cw_routing_unref(struct cw_routing *routing);
@@ -65,26 +66,27 @@
 
 /* Queue of a host (a port after it is ignored) and path, or NULL.
  * Borrowed. */
-const struct cw_queue *cw_routing_match(const struct cw_routing *routing,
-                                        const char *host, const char *path);
+const struct cw_queue *
+cw_routing_find_queue(const struct cw_routing *routing, const char *host,
+                      const char *path);
 
 /* Account of a credential, or NULL.  Borrowed. */
 const struct cw_account *
-cw_routing_account(const struct cw_routing *routing, const char *key);
+cw_routing_account_by_key(const struct cw_routing *routing, const char *key);
 
 /* Account by name, or NULL.  Borrowed. */
 const struct cw_account *
-cw_routing_account_named(const struct cw_routing *routing, const char *name);
+cw_routing_account_by_name(const struct cw_routing *routing, const char *name);
 
 /* True if the data of the account may be in the data centre. */
-bool cw_routing_permits(const struct cw_routing *routing, const char *account,
-                        const char *dc);
+bool cw_routing_account_permits_dc(const struct cw_routing *routing,
+                                   const char *account, const char *dc);
 
 /* True if new work may be begun in the data centre at all. */
-bool cw_routing_is_open(const struct cw_routing *routing, const char *dc);
+bool cw_routing_dc_is_open(const struct cw_routing *routing, const char *dc);
 
 /* Service by name, or NULL.  Borrowed. */
 const struct cw_service *
-cw_routing_service(const struct cw_routing *routing, const char *name);
+cw_routing_service_by_name(const struct cw_routing *routing, const char *name);
 
 #endif
--- a/include/curlewcart/cw_store.h
+++ b/include/curlewcart/cw_store.h
@@ -17,9 +17,10 @@
     CW_STORE_UNKNOWN,  /* no answer: may have been done, or be done later */
     CW_STORE_CONFLICT, /* the partition does not end where expected */
     CW_STORE_FENCED,   /* a writer with a higher epoch was seen */
-    CW_STORE_SEQUENCE, /* the writer's sequence number does not follow */
-    CW_STORE_EXPIRED,  /* the records asked for are no longer retained */
-    CW_STORE_INVALID   /* the answer could not be understood */
+    CW_STORE_OUT_OF_SEQUENCE, /* the writer's sequence number does not follow
+                               */
+    CW_STORE_EXPIRED, /* the records asked for are no longer retained */
+    CW_STORE_INVALID  /* the answer could not be understood */
 };
 
 /* Name of a status, for logs.  Borrowed, static. */
@@ -33,11 +34,11 @@
     uint64_t offset; /* not used when appending */
 };
 
-struct cw_store_appended {
+struct cw_store_append_result {
     enum cw_store_status status;
     uint64_t first; /* offset of the first record; with CW_STORE_OK */
     uint64_t end;   /* next offset of the partition */
-    uint64_t expected_sequence; /* with CW_STORE_SEQUENCE */
+    uint64_t expected_sequence; /* with CW_STORE_OUT_OF_SEQUENCE */
 };
 
 struct cw_store_append {
@@ -51,7 +52,7 @@
     bool conditional; /* only if the partition ends at `expected_end` */
     uint64_t expected_end;
     unsigned timeout_ms;
-    void (*done)(void *context, const struct cw_store_appended *result);
+    void (*done)(void *context, const struct cw_store_append_result *result);
     void *context;
 };
 
@@ -61,7 +62,7 @@
     uint64_t first; /* oldest offset retained */
     const struct cw_store_record *records;
     size_t count;
-    bool more; /* of cw_store_newest: continue after the last key */
+    bool more; /* of cw_store_read_newest: continue after the last key */
 };
 
 struct cw_store_read {
@@ -75,7 +76,7 @@
     void *context;
 };
 
-struct cw_store_newest {
+struct cw_store_read_newest {
     const char *topic;
     unsigned partition;
     const char *after; /* key, or NULL for the first page */
@@ -84,7 +85,7 @@
     void *context;
 };
 
-struct cw_store_joined {
+struct cw_store_join_result {
     enum cw_store_status status;
     uint64_t generation;
     const unsigned *partitions; /* of the topic, held by this member */
@@ -98,7 +99,7 @@
     unsigned ttl_ms;
     uint64_t generation; /* last one received; 0 at first */
     unsigned timeout_ms;
-    void (*done)(void *context, const struct cw_store_joined *result);
+    void (*done)(void *context, const struct cw_store_join_result *result);
     void *context;
 };
 
@@ -111,7 +112,7 @@
 };
 
 /* Who holds the partitions of a group. */
-struct cw_store_members {
+struct cw_store_member_list {
     enum cw_store_status status;
     const char *const *members; /* may repeat */
     size_t count;
@@ -120,7 +121,7 @@
 struct cw_store_list_members {
     const char *group;
     unsigned timeout_ms;
-    void (*done)(void *context, const struct cw_store_members *result);
+    void (*done)(void *context, const struct cw_store_member_list *result);
     void *context;
 };
 
@@ -128,7 +129,8 @@
 struct cw_store_ops {
     void (*append)(struct cw_store *store, const struct cw_store_append *call);
     void (*read)(struct cw_store *store, const struct cw_store_read *call);
-    void (*newest)(struct cw_store *store, const struct cw_store_newest *call);
+    void (*newest)(struct cw_store *store,
+                   const struct cw_store_read_newest *call);
     void (*join)(struct cw_store *store, const struct cw_store_join *call);
     void (*leave)(struct cw_store *store, const struct cw_store_leave *call);
     void (*members)(struct cw_store *store,
--- a/include/curlewcart/cw_stragglers.h
+++ b/include/curlewcart/cw_stragglers.h
@@ -19,7 +19,7 @@
 /* Progress of a run. */
 struct cw_progress {
     unsigned percent;
-    int64_t still_ms;      /* since its percent changed last */
+    int64_t unchanged_ms;  /* since its percent changed last */
     double ms_per_percent; /* by its rate so far, or its estimate; 0 unknown */
     bool awaits_gang;      /* another member of its gang is not at 100 */
 };
@@ -30,27 +30,27 @@
 bool cw_progress_stalled(const struct cw_progress *progress);
 
 /* A run's rates of progress, in percent a second. */
-struct cw_pace {
-    double rate;      /* lately */
-    double best;      /* the highest rate of it before; 0 unknown */
-    double peers;     /* of its gang's other members, as on its worker; 0
-                         unknown */
-    bool slow_before; /* another job's run on its worker was slow, and none
-                         has had a normal rate there since */
+struct cw_rates {
+    double rate;            /* lately */
+    double best;            /* the highest rate of it before; 0 unknown */
+    double peers;           /* of its gang's other members, as on its worker; 0
+                               unknown */
+    bool slow_in_other_job; /* another job's run on its worker was slow, and
+                         none has had a normal rate there since */
 };
 
-enum cw_pace_verdict {
-    CW_PACE_UNKNOWN, /* no rate to compare with */
-    CW_PACE_NORMAL,
-    CW_PACE_LONG_TASK, /* slower than its peers, with nothing else against
+enum cw_rate_verdict {
+    CW_RATE_UNKNOWN, /* no rate to compare with */
+    CW_RATE_NORMAL,
+    CW_RATE_LONG_TASK, /* slower than its peers, with nothing else against
                           its worker */
-    CW_PACE_SLOW_WORKER
+    CW_RATE_SLOW_WORKER
 };
 
-enum cw_pace_verdict cw_pace_judge(const struct cw_pace *pace);
+enum cw_rate_verdict cw_rates_classify(const struct cw_rates *pace);
 
 /* The rate that is expected of the run on a sound worker; 0 unknown. */
-double cw_pace_expected(const struct cw_pace *pace);
+double cw_rates_expected(const struct cw_rates *pace);
 
 /* A run on a slow worker. */
 struct cw_restart {
@@ -63,6 +63,6 @@
 
 /* True if starting the run again elsewhere ends sooner than going on, by
  * enough for the work that is thrown away. */
-bool cw_restart_pays(const struct cw_restart *restart);
+bool cw_restart_is_worthwhile(const struct cw_restart *restart);
 
 #endif
--- a/include/curlewcart/cw_target.h
+++ b/include/curlewcart/cw_target.h
@@ -20,7 +20,7 @@
 
 /* A worker's report of itself in the store. */
 struct cw_target_report {
-    const char *id; /* may have had other lives, see born_ms */
+    const char *id; /* may have had other lives, see boot_ms */
     const char *service;
     const char *address; /* HOST:PORT */
     const char *dc;
@@ -30,7 +30,7 @@
     bool draining;
     int64_t remaining_ms; /* while draining: it stays at least this long */
     int64_t clock_ms;     /* its clock when it reported; 0 unknown */
-    int64_t born_ms; /* when this life began, its time of day; 0 unknown */
+    int64_t boot_ms; /* when this life began, its time of day; 0 unknown */
 };
 
 /* Names a task within a deployment. */
@@ -46,10 +46,11 @@
     CW_TARGET_FENCED,      /* it has seen a higher fencing token */
     CW_TARGET_OLD_RUN,     /* a run as high was stopped or ended there */
     CW_TARGET_LATE,        /* the lease given has passed already */
-    CW_TARGET_NO_ROOM,     /* it does not fit now */
+    CW_TARGET_NO_CAPACITY, /* it does not fit now */
     CW_TARGET_NO_TICKET,   /* the policy's ticket is missing or invalid */
-    CW_TARGET_OTHER_LIFE,  /* another incarnation answers at the address */
-    CW_TARGET_UNHEALTHY,   /* it did nothing and says so */
+    CW_TARGET_OTHER_INCARNATION, /* another incarnation answers at the address
+                                  */
+    CW_TARGET_UNHEALTHY,         /* it did nothing and says so */
     CW_TARGET_INVALID,     /* it could not understand the order, or we it */
     CW_TARGET_UNREACHABLE, /* no connection: nothing was sent */
     CW_TARGET_UNKNOWN      /* no answer: may have been done, or be later */
@@ -63,9 +64,9 @@
     CW_END_KIND_DONE,
     CW_END_KIND_FAILED,
     CW_END_KIND_STOPPED,
-    CW_END_KIND_LAPSED, /* the worker's lease ended */
-    CW_END_KIND_BROKEN, /* another member of its gang ended */
-    CW_END_KIND_ALONE   /* it waited too long for its gang */
+    CW_END_KIND_LEASE_EXPIRED,  /* the worker's lease ended */
+    CW_END_KIND_GANG_BROKEN,    /* another member of its gang ended */
+    CW_END_KIND_GANG_INCOMPLETE /* it waited too long for its gang */
 };
 
 /* Name of an end, for logs.  Borrowed, static. */
@@ -89,7 +90,7 @@
 struct cw_target_answer {
     enum cw_target_status status;
     int64_t clock_ms; /* the worker's clock; 0 unknown */
-    int64_t born_ms;  /* of a HOLD: when the life that answers began, its time
+    int64_t boot_ms;  /* of a HOLD: when the life that answers began, its time
                          of day; 0 unknown */
     const struct cw_running *running;
     size_t running_count;
@@ -98,7 +99,7 @@
 };
 
 enum cw_order_kind {
-    CW_ORDER_HOLD, /* extends the lease, confirms ends, lists runs and ends */
+    CW_ORDER_POLL, /* extends the lease, confirms ends, lists runs and ends */
     CW_ORDER_START,
     CW_ORDER_STOP
 };
--- a/include/curlewcart/cw_work.h
+++ b/include/curlewcart/cw_work.h
@@ -35,18 +35,18 @@
 /* What a record in the store is about; the first byte of its key.  The rest
  * of the key is the job's id, or the VM's or the worker's name. */
 enum cw_work_key {
-    CW_WORK_KEY_SPEC = 's',      /* struct cw_work_spec, by any VM */
-    CW_WORK_KEY_CANCEL = 'c',    /* a mark, by any VM; after the id "." and a
-                                    name of the attempt */
-    CW_WORK_KEY_RECORD = 'r',    /* struct cw_work_record, by the owner */
-    CW_WORK_KEY_VM = 'v',        /* struct cw_vm_record, by that VM */
-    CW_WORK_KEY_BEAT = 'b',      /* struct cw_beat_record, by the owner */
-    CW_WORK_KEY_NOTE = 'n',      /* struct cw_note_record, by the owner */
-    CW_WORK_KEY_EPOCH = 'o',     /* struct cw_epoch_record, by that VM as the
-                                    owner */
-    CW_WORK_KEY_EPOCH_END = 'e', /* struct cw_epoch_end_record, by that VM */
-    CW_WORK_KEY_HINT = 'h'       /* struct cw_hint_record, by a former owner;
-                                    after the id "." and a name of its own */
+    CW_WORK_KEY_SPEC = 's',       /* struct cw_work_spec, by any VM */
+    CW_WORK_KEY_CANCEL = 'c',     /* a mark, by any VM; after the id "." and a
+                                     name of the attempt */
+    CW_WORK_KEY_RECORD = 'r',     /* struct cw_work_record, by the owner */
+    CW_WORK_KEY_VM = 'v',         /* struct cw_vm_record, by that VM */
+    CW_WORK_KEY_HEARTBEAT = 'b',  /* struct cw_beat_record, by the owner */
+    CW_WORK_KEY_LEASE_NOTE = 'n', /* struct cw_note_record, by the owner */
+    CW_WORK_KEY_EPOCH = 'o',      /* struct cw_epoch_record, by that VM as the
+                                     owner */
+    CW_WORK_KEY_EPOCH_END = 'e',  /* struct cw_epoch_end_record, by that VM */
+    CW_WORK_KEY_HINT = 'h'        /* struct cw_hint_record, by a former owner;
+                                     after the id "." and a name of its own */
 };
 
 /* Key of a job's record.  Owned by the caller. */
@@ -61,6 +61,6 @@
 cw_work_check(const struct cw_work_spec *spec, char *detail, size_t size);
 
 /* Milliseconds of the longest chain of steps by the declared estimates. */
-unsigned cw_work_chain_ms(const struct cw_work_spec *spec);
+unsigned cw_work_critical_path_ms(const struct cw_work_spec *spec);
 
 #endif
--- a/src/api/api.c
+++ b/src/api/api.c
@@ -29,8 +29,8 @@
 static bool
 answer_unseen(const struct sweep *sweep, const struct api_waiter *waiter)
 {
-    struct timespec fresh =
-        cw_follower_fresh(cw_replica_follower(sweep->api->options.replica));
+    struct timespec fresh = cw_follower_fresh_as_of(
+        cw_replica_follower(sweep->api->options.replica));
 
     if (!cw_time_before(fresh, waiter->asked)) {
         api_answer_unknown(waiter->call, waiter->request);
@@ -51,7 +51,7 @@
 {
     const struct sweep *sweep = context;
     const struct cw_replica_job *job =
-        cw_replica_find(sweep->api->options.replica, waiter->job);
+        cw_replica_find_job(sweep->api->options.replica, waiter->job);
 
     if (job == NULL || job->spec == NULL) {
         return answer_unseen(sweep, waiter);
@@ -99,13 +99,13 @@
 }
 
 unsigned
-cw_api_waiting(struct cw_api *api)
+cw_api_waiting_calls(struct cw_api *api)
 {
     return api_waiters_count(api->waiters);
 }
 
 void
-cw_api_release(struct cw_api *api)
+cw_api_answer_all_pending(struct cw_api *api)
 {
     sweep_all(api, cw_clock_now(api->options.clock), true);
 }
--- a/src/api/api_bundle.c
+++ b/src/api/api_bundle.c
@@ -90,7 +90,7 @@
 /* ---- offering ---- */
 
 static void
-on_appended(void *context, const struct cw_store_appended *result)
+on_appended(void *context, const struct cw_store_append_result *result)
 {
     struct cw_api *api = context;
 
@@ -99,7 +99,7 @@
     if (result->status == CW_STORE_CONFLICT) {
         cw_count_code(api->options.counters, CW_DROP_CONFLICT);
     }
-    cw_follower_hurry(api->bundles);
+    cw_follower_read_now(api->bundles);
 }
 
 static void
--- a/src/api/api_jobs.c
+++ b/src/api/api_jobs.c
@@ -75,7 +75,7 @@
 {
     struct cw_api *api = context->api;
     const struct cw_replica_job *job =
-        cw_replica_find(api->options.replica, context->job);
+        cw_replica_find_job(api->options.replica, context->job);
     unsigned wait_ms = wait_of(context->call);
     bool known = job != NULL && job->spec != NULL;
 
@@ -130,17 +130,18 @@
         cw_bundle_account(bundle, spec->account);
     struct cw_policy_def policy = cw_bundle_policy(bundle);
 
-    if (cw_replica_find(api->options.replica, spec->id) != NULL) {
+    if (cw_replica_find_job(api->options.replica, spec->id) != NULL) {
         return CW_OK; /* sent again: it is answered as it was */
     }
     if (account->max_waiting > 0 &&
-        cw_replica_waiting(api->options.replica, NULL, spec->account) >=
+        cw_replica_count_waiting(api->options.replica, NULL, spec->account) >=
             account->max_waiting)
     {
         return CW_REF_ACCOUNT_LIMIT;
     }
-    if (cw_replica_waiting(api->options.replica, NULL, NULL) >=
-        policy.max_waiting) {
+    if (cw_replica_count_waiting(api->options.replica, NULL, NULL) >=
+        policy.max_waiting)
+    {
         return CW_REF_QUEUE;
     }
     if (spec->max_attempts == 0) {
@@ -189,7 +190,7 @@
 /* Where a call on a job goes; false if there is no configuration yet. */
 static bool
 place_of(struct cw_api *api, const char *account, const char *job,
-         struct cw_entry_place *place)
+         struct cw_entry_route *place)
 {
     const struct cw_routing *routing = cw_entry_routing(api->options.entry);
 
@@ -197,7 +198,7 @@
         return false;
     }
     place->queue = routing->queues->pdata[0];
-    place->account = cw_routing_account_named(routing, account);
+    place->account = cw_routing_account_by_name(routing, account);
     place->id = job;
     return place->account != NULL;
 }
@@ -207,7 +208,7 @@
           const char *request)
 {
     struct job_call *context = job_call_new(api, call, account, request);
-    struct cw_entry_place place = {0};
+    struct cw_entry_route place = {0};
     unsigned phase = 0;
     enum cw_result result = CW_REF_NO_BUNDLE;
 
@@ -219,7 +220,7 @@
     }
     else if (result == CW_E_NOT_FOUND) {
         /* Another VM may have taken it a moment ago. */
-        cw_follower_hurry(cw_replica_follower(api->options.replica));
+        cw_follower_read_now(cw_replica_follower(api->options.replica));
         hold(context, wait_of(call));
         job_call_free(context);
     }
@@ -248,7 +249,7 @@
            const char *request)
 {
     struct job_call *context = job_call_new(api, call, account, request);
-    struct cw_entry_place place = {0};
+    struct cw_entry_route place = {0};
 
     if (!place_of(api, account, context->job, &place)) {
         refuse(context, CW_REF_NO_BUNDLE);
--- a/src/api/api_ops.c
+++ b/src/api/api_ops.c
@@ -6,7 +6,7 @@
 void
 api_health(struct cw_api *api, struct cw_http_call *call)
 {
-    bool ok = cw_entry_ready(api->options.entry);
+    bool ok = cw_entry_is_ready(api->options.entry);
 
     api_answer_json(call, ok ? 200 : 503, json_pack("{s:b}", "ok", ok), false);
 }
@@ -25,8 +25,9 @@
         call, 200,
         json_pack("{s:s,s:s,s:b,s:b,s:b,s:i,s:I,s:i,s:i,s:o}", "vm",
                   api->options.vm, "dc", api->options.dc, "ready",
-                  cw_entry_ready(entry), "leaving", cw_entry_leaving(entry),
-                  "deciding", cw_owner_active(api->options.owner), "bundle",
+                  cw_entry_is_ready(entry), "leaving",
+                  cw_entry_is_leaving(entry), "deciding",
+                  cw_owner_active(api->options.owner), "bundle",
                   (int)cw_chain_number(api->chain), "requests",
                   (json_int_t)g_hash_table_size(
                       cw_replica_jobs(api->options.replica)),
@@ -108,7 +109,7 @@
     account = g_strndup(key, (gsize)(slash - key));
     cw_request_job_id(account, slash + 1, id);
     g_free(account);
-    return cw_replica_find(api->options.replica, id);
+    return cw_replica_find_job(api->options.replica, id);
 }
 
 static void
--- a/src/api/api_routes.c
+++ b/src/api/api_routes.c
@@ -139,7 +139,7 @@
     const char *path = cw_http_call_path(call);
     size_t jobs = strlen(JOBS);
 
-    pthread_mutex_lock(api->options.engine);
+    pthread_mutex_lock(api->options.engine_lock);
     if (strcmp(path, "/healthz") == 0) {
         api_health(api, call);
     }
@@ -151,5 +151,5 @@
     else {
         handle_operator(api, call);
     }
-    pthread_mutex_unlock(api->options.engine);
+    pthread_mutex_unlock(api->options.engine_lock);
 }
--- a/src/bundle/bundle.c
+++ b/src/bundle/bundle.c
@@ -284,25 +284,25 @@
     struct cw_service *pool = cw_routing_add_service(routing);
 
     routing->version = bundle->number;
-    routing->confined = true;
+    routing->enforces_residency = true;
     queue->name = g_strdup(CW_REQUEST_QUEUE);
     queue->host = g_strdup("");
     queue->prefix = g_strdup("");
     queue->service = g_strdup(service);
     queue->max_attempts = cw_bundle_policy(bundle).max_attempts;
     pool->name = g_strdup(service);
-    pool->guards_capacity = true;
+    pool->enforces_capacity = true;
     for (unsigned i = 0; i < bundle->doc->dcs_count; i++) {
         const struct cw_dc_def *dc = &bundle->doc->dcs[i];
 
         if (dc->out) {
-            g_ptr_array_add(routing->closed, g_strdup(dc->name));
+            g_ptr_array_add(routing->closed_dcs, g_strdup(dc->name));
         }
     }
     for (unsigned i = 0; i < bundle->doc->accounts_count; i++) {
         add_account(routing, &bundle->doc->accounts[i]);
     }
-    cw_routing_seal(routing);
+    cw_routing_finish(routing);
     return routing;
 }
 
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -53,7 +53,7 @@
     char *id;
     char *queue;
     char *account; /* NULL: of any */
-    cw_entry_told told;
+    cw_entry_answered told;
     void *context;
     struct timespec since;
 };
@@ -128,19 +128,19 @@
 }
 
 enum cw_result
-cw_entry_locate(struct cw_entry *entry, const char *host, const char *path,
-                const char *key, struct cw_entry_place *place)
+cw_entry_resolve(struct cw_entry *entry, const char *host, const char *path,
+                 const char *key, struct cw_entry_route *place)
 {
     if (entry->routing == NULL) {
         return CW_REF_NO_BUNDLE;
     }
     place->queue =
-        cw_routing_match(entry->routing, host != NULL ? host : "", path);
+        cw_routing_find_queue(entry->routing, host != NULL ? host : "", path);
     if (place->queue == NULL) {
         return CW_E_NOT_FOUND;
     }
     place->account =
-        key != NULL ? cw_routing_account(entry->routing, key) : NULL;
+        key != NULL ? cw_routing_account_by_key(entry->routing, key) : NULL;
     if (place->account == NULL && !place->queue->open) {
         return CW_REF_TOKEN;
     }
@@ -171,7 +171,7 @@
     if (outcome == CW_ENTRY_NOT_DONE) {
         cw_count_code(entry->options.counters, CW_REF_LOG_AWAY);
     }
-    else if (outcome == CW_ENTRY_UNSURE) {
+    else if (outcome == CW_ENTRY_UNCONFIRMED) {
         cw_count_code(entry->options.counters, CW_REF_UNSURE);
     }
     change->done(change->context, outcome);
@@ -185,7 +185,8 @@
 static void
 give_up(struct change *change)
 {
-    conclude(change, change->unsure ? CW_ENTRY_UNSURE : CW_ENTRY_NOT_DONE);
+    conclude(change,
+             change->unsure ? CW_ENTRY_UNCONFIRMED : CW_ENTRY_NOT_DONE);
 }
 
 /* A mark of cancellation is in the log.  Whether it counts shows only once
@@ -200,7 +201,7 @@
         change->stored_at) {
         return;
     }
-    job = cw_replica_find(replica, change->id);
+    job = cw_replica_find_job(replica, change->id);
     if (job != NULL && cw_replica_phase(job) == CW_WORK_CANCELLED) {
         conclude(change, CW_ENTRY_STORED);
     }
@@ -213,7 +214,7 @@
 change_stored(struct change *change, uint64_t offset)
 {
     /* This VM shows it as soon as it has read it, in log order. */
-    cw_follower_hurry(cw_replica_follower(change->entry->options.replica));
+    cw_follower_read_now(cw_replica_follower(change->entry->options.replica));
     if (change->answered) {
         g_ptr_array_remove_fast(change->entry->changes, change);
         change_free(change);
@@ -229,7 +230,7 @@
 }
 
 static void
-on_appended(void *context, const struct cw_store_appended *result)
+on_appended(void *context, const struct cw_store_append_result *result)
 {
     struct change *change = context;
     struct timespec now = cw_clock_now(change->entry->options.clock);
@@ -285,7 +286,7 @@
         .length = change->value->len,
     };
     struct cw_store_append call = {
-        .topic = CW_WORK_TOPIC,
+        .topic = CW_JOBS_TOPIC,
         .records = &record,
         .count = 1,
         .timeout_ms = (unsigned)CLAMP(left, 1, APPEND_TIMEOUT_MS),
@@ -328,7 +329,7 @@
                 unsigned budget_ms, cw_entry_done done, void *context)
 {
     const struct cw_replica_job *known =
-        cw_replica_find(entry->options.replica, spec->id);
+        cw_replica_find_job(entry->options.replica, spec->id);
     struct change *change;
 
     cw_count_add(entry->options.counters, CW_COUNT_SUBMITTED, 1);
@@ -370,7 +371,7 @@
          const char *account)
 {
     const struct cw_replica_job *job =
-        cw_replica_find(entry->options.replica, id);
+        cw_replica_find_job(entry->options.replica, id);
 
     if (job == NULL || job->spec == NULL ||
         strcmp(job->spec->queue, queue) != 0) {
@@ -383,7 +384,7 @@
 }
 
 static const char *
-account_name(const struct cw_entry_place *place)
+account_name(const struct cw_entry_route *place)
 {
     return place->account != NULL ? place->account->name : NULL;
 }
@@ -406,7 +407,7 @@
 }
 
 void
-cw_entry_cancel(struct cw_entry *entry, const struct cw_entry_place *place,
+cw_entry_cancel(struct cw_entry *entry, const struct cw_entry_route *place,
                 unsigned budget_ms, cw_entry_done done, void *context)
 {
     struct change *change = change_new(entry, CW_WORK_KEY_CANCEL, place->id,
@@ -423,7 +424,7 @@
         /* Another VM may have taken it a moment ago. */
         change->look_first = true;
         change->look_since = change->began;
-        cw_follower_hurry(cw_replica_follower(entry->options.replica));
+        cw_follower_read_now(cw_replica_follower(entry->options.replica));
         return;
     }
     if (!cancel_settled(change, job)) {
@@ -438,7 +439,8 @@
     struct cw_replica *replica = change->entry->options.replica;
     const struct cw_replica_job *job =
         find_job(change->entry, change->id, change->queue, change->account);
-    struct timespec fresh = cw_follower_fresh(cw_replica_follower(replica));
+    struct timespec fresh =
+        cw_follower_fresh_as_of(cw_replica_follower(replica));
 
     if (job != NULL) {
         change->look_first = false;
@@ -464,7 +466,8 @@
     struct timespec now = cw_clock_now(entry->options.clock);
 
     return cw_follower_loaded(follower) &&
-           cw_time_diff_ms(cw_follower_fresh(follower), now) <= within_ms;
+           cw_time_diff_ms(cw_follower_fresh_as_of(follower), now) <=
+               within_ms;
 }
 
 static enum cw_result
@@ -482,7 +485,7 @@
 }
 
 enum cw_result
-cw_entry_query(struct cw_entry *entry, const struct cw_entry_place *place,
+cw_entry_query(struct cw_entry *entry, const struct cw_entry_route *place,
                unsigned *phase)
 {
     return where_it_stands(entry, place->id, place->queue->name,
@@ -492,8 +495,9 @@
 /* ---- questions that look first ---- */
 
 void
-cw_entry_ask(struct cw_entry *entry, const struct cw_entry_place *place,
-             cw_entry_told told, void *context)
+cw_entry_query_fresh(struct cw_entry *entry,
+                     const struct cw_entry_route *place,
+                     cw_entry_answered told, void *context)
 {
     struct cw_follower *follower = cw_replica_follower(entry->options.replica);
     unsigned phase = CW_WORK_WAITING;
@@ -515,7 +519,7 @@
     question->context = context;
     question->since = cw_clock_now(entry->options.clock);
     g_ptr_array_add(entry->questions, question);
-    cw_follower_hurry(follower);
+    cw_follower_read_now(follower);
 }
 
 static void
@@ -534,7 +538,7 @@
 {
     const struct cw_follower *follower =
         cw_replica_follower(entry->options.replica);
-    struct timespec fresh = cw_follower_fresh(follower);
+    struct timespec fresh = cw_follower_fresh_as_of(follower);
     bool current = cw_follower_is_current(follower);
 
     for (guint i = entry->questions->len; i > 0; i--) {
@@ -554,18 +558,19 @@
 }
 
 enum cw_result
-cw_entry_waiting(struct cw_entry *entry, const struct cw_queue *queue,
-                 unsigned *count)
+cw_entry_count_waiting(struct cw_entry *entry, const struct cw_queue *queue,
+                       unsigned *count)
 {
     if (!is_fresh(entry, FRESH_MS)) {
         return CW_REF_NO_LEDGER;
     }
-    *count = cw_replica_waiting(entry->options.replica, queue->name, NULL);
+    *count =
+        cw_replica_count_waiting(entry->options.replica, queue->name, NULL);
     return CW_OK;
 }
 
 bool
-cw_entry_ready(struct cw_entry *entry)
+cw_entry_is_ready(struct cw_entry *entry)
 {
     return !entry->leaving && !entry->isolated && entry->routing != NULL &&
            is_fresh(entry, READY_MS);
@@ -584,7 +589,7 @@
 }
 
 bool
-cw_entry_leaving(const struct cw_entry *entry)
+cw_entry_is_leaving(const struct cw_entry *entry)
 {
     return entry->leaving;
 }
--- a/src/http/http_client.c
+++ b/src/http/http_client.c
@@ -466,9 +466,9 @@
 static long
 lane_connections(const struct cw_http_client *client)
 {
-    long most = client->options.connections_most > 0
-                    ? (long)client->options.connections_most
-                    : (long)CW_HTTP_CONNECTIONS;
+    long most = client->options.pool_connections_max > 0
+                    ? (long)client->options.pool_connections_max
+                    : (long)CW_HTTP_POOL_CONNECTIONS_DEFAULT;
 
     return MAX(1, most * UNEVEN_PARTS / EVEN_PARTS / LANES);
 }
--- a/src/http/http_server.c
+++ b/src/http/http_server.c
@@ -127,7 +127,7 @@
 static void
 call_take_body(struct cw_http_call *call, const char *data, size_t length)
 {
-    if (call->body->len + length > call->server->options.body_max) {
+    if (call->body->len + length > call->server->options.body_bytes_max) {
         call->too_large = true;
         g_byte_array_set_size(call->body, 0);
     }
@@ -214,7 +214,7 @@
 }
 
 int64_t
-cw_http_call_mark(const struct cw_http_call *call)
+cw_http_call_connection_tag(const struct cw_http_call *call)
 {
     const union MHD_ConnectionInfo *info;
 
@@ -250,10 +250,11 @@
         flags, 0, NULL, NULL, on_access, server, MHD_OPTION_SOCK_ADDR,
         (const struct sockaddr *)address, MHD_OPTION_THREAD_POOL_SIZE,
         o->threads, MHD_OPTION_CONNECTION_LIMIT, o->connections,
-        MHD_OPTION_CONNECTION_TIMEOUT, o->idle_s, MHD_OPTION_NOTIFY_COMPLETED,
-        on_completed, server, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U,
-        MHD_OPTION_ARRAY, o->tls_certificate != NULL ? tls : none,
-        MHD_OPTION_ARRAY, o->mark != NULL ? marks : none, MHD_OPTION_END);
+        MHD_OPTION_CONNECTION_TIMEOUT, o->idle_timeout_s,
+        MHD_OPTION_NOTIFY_COMPLETED, on_completed, server,
+        MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_ARRAY,
+        o->tls_certificate != NULL ? tls : none, MHD_OPTION_ARRAY,
+        o->mark != NULL ? marks : none, MHD_OPTION_END);
 }
 
 struct cw_http_server *
@@ -291,7 +292,7 @@
 }
 
 void
-cw_http_server_leave(struct cw_http_server *server)
+cw_http_server_disable_keepalive(struct cw_http_server *server)
 {
     ck_pr_store_int(&server->leaving, 1);
 }
@@ -330,7 +331,7 @@
 }
 
 unsigned
-cw_http_server_calls(struct cw_http_server *server)
+cw_http_server_active_calls(struct cw_http_server *server)
 {
     return ck_pr_load_uint(&server->calls);
 }
--- a/src/owner/internal/owner_candidates.h
+++ b/src/owner/internal/owner_candidates.h
@@ -5,15 +5,17 @@
 #include "owner/internal/owner_placement.h"
 
 /* Speeds that differ by less count as the same. */
-#define SPEED_STEP 0.12
+#define OWNER_SPEED_STEP 0.12
 
 /* A worker with room, while a step is placed. */
 struct owner_candidate {
     struct owner_target *target;
     struct cw_resources room;
     unsigned fits;
-    unsigned rack_hosts; /* workers of its rack that lower work is on */
-    unsigned company;    /* owner_company; only for a suspect */
+    unsigned rack_lower_priority_workers; /* workers of its rack that lower
+                                             work is on */
+    unsigned neighbour_weight; /* owner_target_neighbour_weight; only for a
+                                  suspect */
 };
 
 /* Workers with room for a task of the step, as struct owner_candidate, the
@@ -30,27 +32,28 @@
 /* The same as owner_candidates, of the workers given and with all that is kept
  * from the step: room for urgent work first, then racks for gangs, at last
  * workers that failed or are slow. */
-GArray *
-owner_candidates_kept(const GPtrArray *targets, const struct owner_step *step,
-                      struct timespec now);
+GArray *owner_candidates_with_reserved(const GPtrArray *targets,
+                                       const struct owner_step *step,
+                                       struct timespec now);
 
 /* Tasks that fit on all candidates together. */
-unsigned owner_total_fits(const GArray *candidates);
+unsigned owner_total_fit_count(const GArray *candidates);
 
 /* Takes up to `tasks` from the candidates (of `rack` only, if given), as
  * struct owner_choice.  Owned by the caller. */
-GArray *
-owner_choose(const GArray *candidates, const char *rack, unsigned tasks);
+GArray *owner_choose_targets(const GArray *candidates, const char *rack,
+                             unsigned tasks);
 
 /* The same over as few data centres as hold the tasks. */
-GArray *owner_choose_spread(const GArray *candidates, unsigned tasks);
+GArray *owner_choose_by_dc(const GArray *candidates, unsigned tasks);
 
 /* True if the worker is kept clear for a more urgent gang. */
-bool owner_is_held(const struct owner_target *target,
-                   const struct owner_step *step, struct timespec now);
+bool
+owner_target_is_reserved(const struct owner_target *target,
+                         const struct owner_step *step, struct timespec now);
 
 /* True if nothing runs on the worker. */
-bool owner_candidate_idle(const struct owner_candidate *candidate);
+bool owner_candidate_is_idle(const struct owner_candidate *candidate);
 
 /* The rack that holds `tasks`: for urgent work the fastest, then the one that
  * loses the fewest idle workers; then the one with least to spare.  NULL if
@@ -61,7 +64,7 @@
 
 /* Keeps the rack that will be free first clear of work with a lower priority
  * than the gang's. */
-void owner_hold_rack(struct cw_owner *owner, struct owner_step *step,
-                     struct timespec now);
+void owner_reserve_rack(struct cw_owner *owner, struct owner_step *step,
+                        struct timespec now);
 
 #endif
--- a/src/owner/internal/owner_due.h
+++ b/src/owner/internal/owner_due.h
@@ -15,7 +15,7 @@
 /* Embed one in what is kept in the heap; zeroed at first. */
 struct owner_due_entry {
     struct timespec at;
-    guint place; /* in the heap, from 1; 0: not in it */
+    guint position; /* in the heap, from 1; 0: not in it */
 };
 
 struct owner_due *owner_due_create(void);
@@ -25,12 +25,12 @@
 void owner_due_clear(struct owner_due *due);
 
 /* The entry is due at `at`, or earlier if it is already. */
-void owner_due_by(struct owner_due *due, struct owner_due_entry *entry,
-                  struct timespec at);
+void owner_due_schedule(struct owner_due *due, struct owner_due_entry *entry,
+                        struct timespec at);
 
 /* Takes out the entry that is due first, if it is due now; else NULL. */
 struct owner_due_entry *
-owner_due_take(struct owner_due *due, struct timespec now);
+owner_due_pop(struct owner_due *due, struct timespec now);
 
 /* When the first entry is due; far away if there is none. */
 struct timespec owner_due_next(const struct owner_due *due);
--- a/src/owner/internal/owner_lives.h
+++ b/src/owner/internal/owner_incarnations.h
@@ -13,13 +13,13 @@
 /* An order may arrive so long after it was sent: then it is given up.  One
  * that is late may meet a worker's next life, whose lease counts from its
  * arrival. */
-enum { OWNER_ORDER_ARRIVES_MS = 500 };
+enum { OWNER_ORDER_DELAY_MAX_MS = 500 };
 
 /* What holds for one life of a worker.  A worker that crashes may start again
  * under its id: it knows nothing of before and counts from 1, so all of this
- * is dropped at once; owner_lives.c. */
-struct owner_life {
-    int64_t born_ms; /* when it began, by its own time of day; 0 unknown */
+ * is dropped at once; owner_incarnations.c. */
+struct owner_incarnation {
+    int64_t boot_ms; /* when it began, by its own time of day; 0 unknown */
     bool clock_known;
     int64_t clock_offset_ms;  /* its clock less ours */
     struct timespec clock_at; /* when that was read */
@@ -30,7 +30,7 @@
     uint64_t ends_in_batch;
     uint64_t ends_durable;
     uint64_t ends_confirmed;
-    struct timespec heard_at;      /* a look was answered */
+    struct timespec poll_answered_at; /* a look was answered */
     unsigned failures;             /* jobs whose tasks failed there in a row */
     unsigned failed_job;           /* the last of them: hash of its id */
     struct timespec suspect_until; /* it failed or stalled work */
@@ -41,31 +41,32 @@
 };
 
 /* The state of a life of which nothing is known. */
-struct owner_life owner_life_new(int64_t born_ms);
+struct owner_incarnation owner_incarnation_new(int64_t boot_ms);
 
 /* True if the run was sent to another life of its worker than the one given;
  * false if either is unknown. */
-bool owner_run_is_of_another(const struct owner_run *run, int64_t born_ms);
+bool owner_run_is_of_other_incarnation(const struct owner_run *run,
+                                       int64_t boot_ms);
 
 /* A look was answered by a life that began then (0: unknown).  If it is not
  * the one that was known, all that held for that one is dropped; its runs stay
  * until the look's lists have shown which of them are gone.  Returns whether
  * it is another one. */
-bool owner_life_answered(struct owner_target *target, int64_t born_ms);
+bool owner_incarnation_answered(struct owner_target *target, int64_t boot_ms);
 
 /* A worker's report is by a life that began then. */
-void owner_life_reported(struct owner_target *target, int64_t born_ms);
+void owner_incarnation_reported(struct owner_target *target, int64_t boot_ms);
 
 /* The run went with a former life.  If a start of it had no answer, and may be
  * carried out late, the present one is told to stop it: it then refuses. */
-void owner_life_add_tombstone(const struct owner_run *run);
+void owner_incarnation_add_tombstone(const struct owner_run *run);
 
 /* A worker goes silent.  A start that is on its way may meet its next life,
  * whose clock is another: its lease lasts as long as one may, from then on. */
-void owner_life_unsure(struct owner_target *target);
+void owner_incarnation_unresponsive(struct owner_target *target);
 
 /* The worker does not answer.  If it has reported that it has started again,
  * what ran there is lost, and not waited for until its lease is over. */
-void owner_life_unanswered(struct owner_target *target);
+void owner_incarnation_poll_failed(struct owner_target *target);
 
 #endif
--- a/src/owner/internal/owner_leases.h
+++ b/src/owner/internal/owner_leases.h
@@ -13,10 +13,11 @@
 
 /* Who has set the end of a worker's lease. */
 enum owner_lease_source {
-    OWNER_LEASE_OWN,     /* this owner, by a look or a start */
-    OWNER_LEASE_EARLIER, /* earlier owners may have extended it */
-    OWNER_LEASE_NOTE,    /* an earlier owner, in its note */
-    OWNER_LEASE_LIFE     /* orders to a former life may reach the next one */
+    OWNER_LEASE_OWN,           /* this owner, by a look or a start */
+    OWNER_LEASE_EARLIER_OWNER, /* earlier owners may have extended it */
+    OWNER_LEASE_NOTE,          /* an earlier owner, in its note */
+    OWNER_LEASE_INCARNATION /* orders to a former life may reach the next one
+                             */
 };
 
 /* How long by our clock what takes so long by another's, which may be slow,
@@ -25,13 +26,14 @@
 
 /* When a lease is over that had `left_ms` left when a VM wrote so, by when it
  * was read: two VMs' clocks may differ by as much as a worker's from one. */
-struct timespec owner_lease_end_read(struct timespec read_at, int64_t left_ms);
+struct timespec
+owner_lease_end_from_record(struct timespec read_at, int64_t left_ms);
 
 /* How long a lease of the longest that workers take may last, by our clock. */
-int64_t owner_lease_most_ms(const struct cw_owner *owner);
+int64_t owner_lease_max_duration_ms(const struct cw_owner *owner);
 
 /* The longest that owners give, by the worker's clock. */
-int64_t owner_lease_longest_ms(const struct cw_owner *owner);
+int64_t owner_lease_max_granted_ms(const struct cw_owner *owner);
 
 /* True if the worker's clock was read lately enough to give it a lease. */
 bool owner_lease_clock_is_fresh(const struct owner_target *target,
@@ -39,8 +41,8 @@
 
 /* End of lease to send with an order now, on the worker's clock; it is never
  * earlier than one that was sent before. */
-int64_t owner_target_lease(struct owner_target *target,
-                           enum cw_order_kind kind, struct timespec now);
+int64_t owner_lease_grant(struct owner_target *target, enum cw_order_kind kind,
+                          struct timespec now);
 
 /* The worker's lease may last until `end` at least, or at most. */
 void owner_lease_raise(struct owner_target *target, struct timespec end,
@@ -49,10 +51,10 @@
                        enum owner_lease_source source);
 
 /* The worker has answered this owner, and so seen its fencing token. */
-void owner_lease_seen(struct owner_target *target, struct timespec now);
+void owner_lease_token_seen(struct owner_target *target, struct timespec now);
 
 /* True if orders of this owner may have given the worker a lease. */
-bool owner_lease_given(const struct owner_target *target);
+bool owner_lease_possibly_granted(const struct owner_target *target);
 
 /* For logs. */
 const char *owner_lease_source_name(enum owner_lease_source source);
--- a/src/owner/internal/owner_log.h
+++ b/src/owner/internal/owner_log.h
@@ -31,14 +31,14 @@
 void owner_batch_put(struct owner_batch *batch, char *key, GByteArray *value);
 
 /* Notes a job that the batch is about, for `stored` to look up.  Copied. */
-void owner_batch_note(struct owner_batch *batch, const char *job);
+void owner_batch_add_job(struct owner_batch *batch, const char *job);
 
 /* Ids of the jobs noted.  Borrowed. */
 const GPtrArray *owner_batch_jobs(const struct owner_batch *batch);
 
 /* When it was sent last, and how many records it has. */
-struct timespec owner_batch_sent(const struct owner_batch *batch);
-unsigned owner_batch_records(const struct owner_batch *batch);
+struct timespec owner_batch_sent_at(const struct owner_batch *batch);
+unsigned owner_batch_record_count(const struct owner_batch *batch);
 
 struct owner_log_options {
     struct cw_store *store;
@@ -48,7 +48,7 @@
     unsigned partition;
     /* The store took an append that was sent at `sent`: no writer had shut
      * this one out then. */
-    void (*proved)(void *context, struct timespec sent);
+    void (*confirmed)(void *context, struct timespec sent);
     /* Another writer has shut this one out, or its epoch was used by
      * another; the log is closed. */
     void (*lost)(void *context, const char *reason);
@@ -69,7 +69,7 @@
 bool owner_log_is_open(const struct owner_log *log);
 
 /* End of the partition when the log was opened. */
-uint64_t owner_log_opened_at(const struct owner_log *log);
+uint64_t owner_log_open_offset(const struct owner_log *log);
 
 /* True if a batch may be sent. */
 bool owner_log_is_idle(const struct owner_log *log);
@@ -78,7 +78,7 @@
 void owner_log_send(struct owner_log *log, struct owner_batch *batch);
 
 /* When the last batch was sent first. */
-struct timespec owner_log_sent(const struct owner_log *log);
+struct timespec owner_log_last_sent_at(const struct owner_log *log);
 
 /* Tries again what is due; returns when it wants to be called next. */
 struct timespec owner_log_tick(struct owner_log *log, struct timespec now);
--- a/src/owner/internal/owner_private.h
+++ b/src/owner/internal/owner_private.h
@@ -16,9 +16,9 @@
 #include "owner/internal/owner_epochs.h"
 #include "owner/internal/owner_idle.h"
 #include "owner/internal/owner_leases.h"
-#include "owner/internal/owner_lives.h"
+#include "owner/internal/owner_incarnations.h"
 #include "owner/internal/owner_log.h"
-#include "owner/internal/owner_stored.h"
+#include "owner/internal/owner_state_reader.h"
 
 struct owner_job;
 struct owner_step;
@@ -26,7 +26,7 @@
 
 /* A worker's clock may run slow by so many percent: by so much longer than
  * told a lease may last there. */
-enum { OWNER_DRIFT_PERCENT = 2 };
+enum { OWNER_CLOCK_DRIFT_PERCENT = 2 };
 
 /* A run of a task on a worker, from its placement until it is known that
  * the worker does not run it and never will. */
@@ -37,22 +37,22 @@
     RUN_READY,      /* durable; its start waits to be sent */
     RUN_STARTING,   /* the start was sent */
     RUN_RUNNING,    /* the worker has confirmed it */
-    RUN_UNSURE      /* an earlier owner's; the worker was not asked yet */
+    RUN_INHERITED   /* an earlier owner's; the worker was not asked yet */
 };
 
 struct owner_run {
     struct owner_target *target;
     struct owner_task *task;
     unsigned number;
-    int64_t born_ms; /* of the worker's life that it was sent to; 0 unknown */
+    int64_t boot_ms; /* of the worker's life that it was sent to; 0 unknown */
     enum run_phase phase;
     bool stopping;    /* is to end, by order */
     bool stop_queued; /* an order to stop waits or is under way */
     bool stop_confirmed;
-    bool finished; /* its gang is done; only its own end is outstanding */
-    bool on_trial; /* a suspect's, without progress yet */
-    bool released; /* in room that is kept for others: it does not make its
-                      worker one that lower work is on */
+    bool gang_done;    /* its gang is done; only its own end is outstanding */
+    bool on_probation; /* a suspect's, without progress yet */
+    bool headroom_borrowed;   /* in room that is kept for others: it does not
+                        make its   worker one that lower work is on */
     struct timespec stop_due; /* not tried again before */
     struct timespec stop_confirmed_at;
     struct timespec created_at;
@@ -76,9 +76,9 @@
     unsigned index;
     unsigned last_run; /* highest number used */
     unsigned failures;
-    unsigned lost_runs;         /* in a row, without an end; owner_waits.c */
-    unsigned suspicion;         /* of crashing its workers; owner_crashes.c */
-    struct timespec held_until; /* while it is a suspect */
+    unsigned lost_runs; /* in a row, without an end; owner_idle_stats.c */
+    unsigned suspicion; /* of crashing its workers; owner_crashes.c */
+    struct timespec rack_reserved_until; /* while it is a suspect */
     struct timespec idle_since; /* a run of it was at work until then */
     bool done;
     char *saved;           /* newest checkpoint, or NULL */
@@ -99,18 +99,20 @@
     unsigned suspects; /* tasks that crashes speak against */
     struct timespec ready_at;
     bool ready;
-    uint64_t tried_at; /* the owner's room version when it did not fit */
-    struct timespec tried_time;
-    unsigned moves;              /* restarts because of slow workers */
-    struct timespec holds_until; /* a rack is kept clear for it */
-    struct timespec racks_seen;  /* owner_step_needs_rack */
-    bool rack_could_hold;
-    unsigned unstarted_run; /* highest run of the gang of which a member was
-                               certainly never started: none of it worked */
+    uint64_t tried_capacity_version; /* the owner's room version when it did
+                                        not fit */
+    struct timespec tried_at;
+    unsigned moves; /* restarts because of slow workers */
+    struct timespec rack_reservation_until; /* a rack is kept clear for it */
+    struct timespec rack_checked_at;        /* owner_step_needs_rack */
+    bool rack_can_hold;
+    unsigned
+        unstarted_run_max; /* highest run of the gang of which a member was
+                          certainly never started: none of it worked */
 };
 
 /* A worker that has confirmed runs of a job. */
-struct owner_place {
+struct owner_job_placement {
     char *worker;
     char *dc;
     unsigned runs;
@@ -129,32 +131,34 @@
     const char *service;                /* of `spec`, interned */
     unsigned phase;                     /* enum cw_work_phase */
     bool started;
-    bool begun;          /* a start was confirmed to this owner */
-    bool final;          /* its end is in a batch: its state stays as it is */
-    bool final_durable;  /* all VMs can read its end */
-    bool dirty;          /* differs from what the store has, or will have */
-    bool untold;         /* all VMs are to be told where it stands */
-    unsigned told_phase; /* what they were told, or are being told */
-    bool told_started;
+    bool begun;         /* a start was confirmed to this owner */
+    bool final;         /* its end is in a batch: its state stays as it is */
+    bool final_durable; /* all VMs can read its end */
+    bool dirty;         /* differs from what the store has, or will have */
+    bool unpublished;   /* all VMs are to be told where it stands */
+    unsigned published_phase; /* what they were told, or are being told */
+    bool published_started;
     int64_t ended_ms;
     enum cw_result reason; /* why it ended */
     uint64_t config;       /* version in force at its first start; 0 none */
     char *result;          /* text of the last end that had one, or NULL */
-    GArray *places;        /* struct owner_place: where it has run */
+    GArray *places;        /* struct owner_job_placement: where it has run */
     unsigned next_occurrence;
-    GPtrArray *open;           /* struct owner_occurrence */
-    struct timespec known_at;  /* when this owner learnt of it */
-    struct timespec objective; /* when it is late, as far as known */
+    GPtrArray *open;              /* struct owner_occurrence */
+    struct timespec known_at;     /* when this owner learnt of it */
+    struct timespec objective_at; /* when it is late, as far as known */
     struct owner_idle idle;
     struct timespec placed_at; /* a run of it was placed last */
     unsigned runs;
 };
 
-/* What the log that all VMs read says of a worker's lease; owner_notes.c. */
-enum owner_note {
-    OWNER_NOTE_NONE,    /* nothing: the lease may be extended */
-    OWNER_NOTE_WRITTEN, /* it ends: in the batch under way, or stored */
-    OWNER_NOTE_DROPPED  /* ... and the taking back is in the batch under way */
+/* What the log that all VMs read says of a worker's lease;
+ * owner_lease_notes.c. */
+enum owner_lease_note {
+    OWNER_LEASE_NOTE_NONE,    /* nothing: the lease may be extended */
+    OWNER_LEASE_NOTE_WRITTEN, /* it ends: in the batch under way, or stored */
+    OWNER_LEASE_NOTE_DROPPED  /* ... and the taking back is in the batch under
+                                 way */
 };
 
 /* A worker as the owner knows it; see owner_targets.c. */
@@ -177,66 +181,71 @@
     struct cw_resources orphans;  /* by runs that nobody wants there */
     bool listed;                  /* the store has its report */
     bool draining;
-    struct timespec leaves_at;   /* while draining: not before */
-    bool gone;                   /* another life answers at its address */
-    bool seen_mark;              /* while the reports are loaded anew */
+    struct timespec drain_until; /* while draining: not before */
+    bool superseded;             /* another life answers at its address */
+    bool seen_in_reload;         /* while the reports are loaded anew */
     struct timespec reported_at; /* its last report was not written before */
-    int64_t reported_born_ms;    /* of the life that reported last */
-    struct owner_life life;      /* of the one that answered last */
+    int64_t reported_boot_ms;    /* of the life that reported last */
+    struct owner_incarnation incarnation; /* of the one that answered last */
     struct timespec lease_end; /* latest that any life was given, in our time,
                                   with its drift */
     enum owner_lease_source lease_source;
     bool answered; /* a hold, since this owner began or gave its runs up */
-    bool hold_in_flight;
-    struct timespec hold_sent;
-    struct timespec seen_at; /* the last answered hold was sent */
-    struct timespec hold_due;
-    struct timespec busy_at;      /* when it last had a run, as far as known */
-    unsigned silent;              /* holds in a row without an answer */
-    struct timespec silent_since; /* the last time that it fell silent */
-    enum owner_note note;
-    struct timespec noted_at; /* the note was written, or read, last */
-    bool note_due;            /* it is in the owner's list of notes to write */
+    bool poll_in_flight;
+    struct timespec poll_sent_at;
+    struct timespec
+        answered_poll_sent_at; /* the last answered hold was sent */
+    struct timespec poll_due;
+    struct timespec last_busy_at; /* when it last had a run, as far as known */
+    unsigned unanswered_polls;    /* holds in a row without an answer */
+    struct timespec unresponsive_since; /* the last time that it fell silent */
+    enum owner_lease_note lease_note;
+    struct timespec lease_note_at; /* the note was written, or read, last */
+    bool lease_note_queued; /* it is in the owner's list of notes to write */
     bool ends_new; /* it is in the owner's list of those with applied ends */
     GPtrArray *tombstones; /* owner_tombstones.c */
     GQueue orders;         /* struct owner_order */
     unsigned orders_in_flight;
-    GPtrArray *runs;     /* struct owner_run */
-    unsigned lower_runs; /* of them, of work that is not the most urgent */
-    unsigned trials;     /* of them, on trial: no others are placed there */
-    GArray *charges;     /* owner_crashes.c: for when a crash is proved */
+    GPtrArray *runs; /* struct owner_run */
+    unsigned
+        lower_priority_runs; /* of them, of work that is not the most urgent */
+    unsigned
+        probation_runs; /* of them, on trial: no others are placed there */
+    GArray
+        *pending_suspicions; /* owner_crashes.c: for when a crash is proved */
     struct timespec avoid_until;
-    const void *held_for;   /* step that waits for the rack; not followed,
-                               as it may be gone */
-    unsigned held_priority; /* of that step */
-    struct timespec held_until;
+    const void *rack_reserved_for;   /* step that waits for the rack; not
+                               followed,   as it may be gone */
+    unsigned rack_reserved_priority; /* of that step */
+    struct timespec rack_reserved_until;
 };
 
 /* Room that a service's workers keep for urgent work. */
 struct owner_headroom {
     struct cw_headroom forecast; /* of what urgent work will hold */
     bool mostly_idle;
-    unsigned most_hosts; /* workers that lower work may be on */
-    unsigned hosts;      /* workers that it is on */
-    int64_t free;        /* accelerators, once what is told to leave has */
-    int64_t released;    /* accelerators of runs in room that is kept */
+    unsigned
+        max_lower_priority_workers;  /* workers that lower work may be on */
+    unsigned lower_priority_workers; /* workers that it is on */
+    int64_t free; /* accelerators, once what is told to leave has */
+    int64_t headroom_borrowed; /* accelerators of runs in room that is kept */
 };
 
 enum owner_state {
-    OWNER_IDLE,     /* another VM owns the shard, or none */
-    OWNER_READING,  /* gained it; reads until it can decide at once */
-    OWNER_FENCING,  /* shutting out earlier owners */
-    OWNER_CATCHING, /* reading what they have written */
+    OWNER_IDLE,        /* another VM owns the shard, or none */
+    OWNER_READING,     /* gained it; reads until it can decide at once */
+    OWNER_FENCING,     /* shutting out earlier owners */
+    OWNER_CATCHING_UP, /* reading what they have written */
     OWNER_ACTIVE
 };
 
 /* Whether this VM lets itself be dealt the shard; owner_candidacy.c. */
 struct owner_candidacy {
-    GHashTable *capacities; /* VM -> thousandths of a core, as announced */
-    unsigned bar_milli;     /* from which on a VM is not weak */
-    bool some_weak;         /* a VM is below it */
-    bool stands;            /* this VM lets itself be dealt the shard */
-    bool outranked;         /* a stronger VM has announced itself since then */
+    GHashTable *capacities;    /* VM -> thousandths of a core, as announced */
+    unsigned weak_below_milli; /* from which on a VM is not weak */
+    bool some_weak;            /* a VM is below it */
+    bool is_candidate;         /* this VM lets itself be dealt the shard */
+    bool outranked; /* a stronger VM has announced itself since then */
     bool announcing;
     bool announced;
     struct timespec announce_due;
@@ -244,11 +253,11 @@
     struct timespec reading_since;  /* reads have been answered since */
 };
 
-/* How many orders may be under way; owner_pace.c. */
-struct owner_pace {
-    unsigned under_way; /* orders, queued or sent */
-    unsigned most;
-    double answer_ms; /* what an answer takes, averaged */
+/* How many orders may be under way; owner_order_window.c. */
+struct owner_order_window {
+    unsigned in_flight; /* orders, queued or sent */
+    unsigned max_in_flight;
+    double mean_answer_ms; /* what an answer takes, averaged */
 };
 
 struct cw_owner {
@@ -259,59 +268,64 @@
     enum owner_state state;
     bool leaving;
     bool joined; /* the group has it as a member, as far as known */
-    bool holds_partition;
+    bool partition_assigned;
     bool yielding;       /* the group has dealt the partition to another VM */
     uint64_t generation; /* of the group, last received */
     bool join_in_flight;
     struct timespec join_sent;
     struct timespec join_due;
-    struct timespec proof_at; /* the store confirmed ownership; when asked */
+    struct timespec
+        ownership_confirmed_at; /* the store confirmed ownership; when asked */
     uint64_t epoch;
     uint64_t epoch_generation;
     unsigned epoch_count; /* epochs made in that generation */
     unsigned term;        /* grows whenever all below is dropped */
-    struct timespec began;
-    struct timespec read_up; /* when it began to shut earlier owners out */
-    struct timespec fenced;  /* when they were */
+    struct timespec takeover_began_at;
+    struct timespec fencing_at; /* when it began to shut earlier owners out */
+    struct timespec fenced_at;  /* when they were */
     struct cw_follower *reports;
-    struct owner_stored *stored; /* states, while it takes the shard over */
-    GHashTable *jobs;            /* id -> struct owner_job */
-    GHashTable *targets;         /* id -> struct owner_target */
-    struct owner_due *due;       /* of the targets */
-    GPtrArray *ends_new;  /* struct owner_target: ends not in a batch yet */
-    GPtrArray *ends_sent; /* ... and in the batch under way */
-    GHashTable *lives;    /* address -> struct owner_target, listed last */
-    GHashTable *headroom; /* service -> struct owner_headroom */
+    struct owner_state_reader
+        *stored;           /* states, while it takes the shard over */
+    GHashTable *jobs;      /* id -> struct owner_job */
+    GHashTable *targets;   /* id -> struct owner_target */
+    struct owner_due *due; /* of the targets */
+    GPtrArray *ends_new;   /* struct owner_target: ends not in a batch yet */
+    GPtrArray *ends_sent;  /* ... and in the batch under way */
+    GHashTable
+        *targets_by_address; /* address -> struct owner_target, listed last */
+    GHashTable *headroom;    /* service -> struct owner_headroom */
     struct owner_log *states_log; /* CW_STATE_TOPIC */
-    struct owner_log *jobs_log;   /* CW_WORK_TOPIC */
+    struct owner_log *jobs_log;   /* CW_JOBS_TOPIC */
     GPtrArray *dirty;       /* struct owner_job: their states are written */
-    GPtrArray *untold;      /* struct owner_job: all VMs are told of them */
+    GPtrArray *unpublished; /* struct owner_job: all VMs are told of them */
     GPtrArray *past_states; /* char *: jobs whose states are dropped */
-    GPtrArray *notes_due;   /* struct owner_target: notes to write or drop */
-    bool notes_went;        /* ... were written since outcomes were */
+    GPtrArray
+        *lease_notes_due;  /* struct owner_target: notes to write or drop */
+    bool lease_notes_sent; /* ... were written since outcomes were */
     struct timespec flush_due;
     struct owner_candidacy candidacy;
-    bool place_wanted;
-    struct timespec place_due;
+    bool placement_wanted;
+    struct timespec placement_due;
     struct timespec starved_due; /* owner_starvation.c */
-    bool releasing;              /* runs are placed in room that is kept */
-    struct owner_pace pace;
-    struct timespec orders_read_due; /* owner_cordons.c */
-    uint64_t room_version;   /* grows whenever room may have come free */
-    GHashTable *racks;       /* interned name -> number, from 1 */
-    GArray *rack_hosts;      /* unsigned, by number: workers of the rack that
-                                lower work is on */
-    struct owner_open *open; /* owner_open.c */
+    bool borrowing_headroom;     /* runs are placed in room that is kept */
+    struct owner_order_window order_window;
+    struct timespec cordons_read_due; /* owner_cordons.c */
+    uint64_t capacity_version; /* grows whenever room may have come free */
+    GHashTable *racks;         /* interned name -> number, from 1 */
+    GArray *rack_lower_priority_workers; /* unsigned, by number: workers of the
+                           rack that lower work is on */
+    struct owner_available *open;        /* owner_available.c */
     struct timespec sweep_due;
     struct timespec check_due;
-    unsigned idle_looks; /* holds under way at workers without runs */
-    unsigned holds;      /* racks held back in this pass of placement */
-    GHashTable *demand;  /* account -> accelerators of its most urgent jobs;
-                            owner_demand_update */
+    unsigned
+        idle_polls_in_flight;   /* holds under way at workers without runs */
+    unsigned rack_reservations; /* racks held back in this pass of placement */
+    GHashTable *demand; /* account -> accelerators of its most urgent jobs;
+                           owner_demand_update */
     struct owner_memo *memo;     /* owner_memo.c */
     struct owner_hints *hints;   /* owner_hints.c; outlasts ownership */
     struct owner_epochs *epochs; /* owner_epochs.c; outlasts ownership */
-    struct owner_waits waits;
+    struct owner_idle_stats waits;
 };
 
 /* ---- owner.c ---- */
@@ -321,10 +335,10 @@
 bool owner_may_order(const struct cw_owner *owner, struct timespec now);
 
 /* The store confirmed at `asked` that this VM is the owner. */
-void owner_prove(struct cw_owner *owner, struct timespec asked);
+void owner_confirm_ownership(struct cw_owner *owner, struct timespec asked);
 
 /* Another owner was seen: drops everything and asks the store. */
-void owner_depose(struct cw_owner *owner, const char *reason);
+void owner_drop_ownership(struct cw_owner *owner, const char *reason);
 
 static inline struct timespec
 owner_now(const struct cw_owner *owner)
@@ -334,7 +348,7 @@
 
 /* Becomes the owner of the shard that was just gained: reads up, shuts
  * earlier owners out, reads what they wrote last, and decides. */
-void owner_begin(struct cw_owner *owner, struct timespec now);
+void owner_take_over(struct cw_owner *owner, struct timespec now);
 
 /* ---- owner_group.c ---- */
 
@@ -356,23 +370,24 @@
 owner_candidacy_tick(struct cw_owner *owner, struct timespec now);
 
 /* True if this VM should be in the group. */
-bool owner_candidacy_wants(const struct cw_owner *owner, struct timespec now);
+bool owner_candidacy_wants_membership(const struct cw_owner *owner,
+                                      struct timespec now);
 
 /* True if weaker VMs wait for a sign of this owner. */
-bool
-owner_candidacy_beat_due(const struct cw_owner *owner, struct timespec now);
+bool owner_candidacy_heartbeat_due(const struct cw_owner *owner,
+                                   struct timespec now);
 
-/* ---- owner_lasting.c ---- */
+/* ---- owner_endless.c ---- */
 
 /* True if so many other tasks of the run's step are away, or are in the set
  * of runs that are about to leave (NULL: none), that this one must stay. */
-bool owner_lasting_protects(const struct owner_run *run, GHashTable *leaving);
+bool owner_endless_protects(const struct owner_run *run, GHashTable *leaving);
 
 /* ---- owner_drain.c ---- */
 
 /* A worker has said that it leaves, and how long it stays at least. */
-void owner_drain_noticed(struct owner_target *target, int64_t remaining_ms,
-                         struct timespec now);
+void owner_drain_announced(struct owner_target *target, int64_t remaining_ms,
+                           struct timespec now);
 
 /* Moves work away that the worker, if it is leaving, would take with it. */
 void owner_drain_tick(struct cw_owner *owner, struct owner_target *target,
@@ -388,8 +403,8 @@
 owner_occurrence_open(struct owner_job *job, unsigned number);
 
 /* Notes that so many runs of the job were on a worker. */
-void owner_job_ran(struct owner_job *job, const char *worker, const char *dc,
-                   unsigned runs);
+void owner_job_add_placement(struct owner_job *job, const char *worker,
+                             const char *dc, unsigned runs);
 
 /* ---- owner_state.c ---- */
 
@@ -408,7 +423,7 @@
 /* ---- owner_jobs.c ---- */
 
 /* Marks a job for the next batch. */
-void owner_job_touch(struct cw_owner *owner, struct owner_job *job);
+void owner_job_mark_dirty(struct cw_owner *owner, struct owner_job *job);
 
 /* Ends a job before its work is done, and stops its runs. */
 void owner_job_end(struct cw_owner *owner, struct owner_job *job,
@@ -419,8 +434,8 @@
                               struct timespec now);
 
 /* A worker has confirmed a start: notes that the job runs, and where. */
-void owner_job_begun(struct cw_owner *owner, struct owner_job *job,
-                     const struct owner_target *target);
+void owner_job_start_confirmed(struct cw_owner *owner, struct owner_job *job,
+                               const struct owner_target *target);
 
 /* A step's tasks are all done: later steps, the occurrence, the job. */
 void owner_step_done(struct cw_owner *owner, struct owner_step *step);
@@ -430,7 +445,7 @@
                                    struct owner_job *job, struct timespec now);
 
 /* True if the job is over, stored, and runs nowhere: it can be forgotten. */
-bool owner_job_is_past(const struct owner_job *job);
+bool owner_job_is_removable(const struct owner_job *job);
 
 /* The job's runs in a phase, as struct owner_run.  The array is the
  * caller's, the runs are borrowed. */
@@ -455,7 +470,7 @@
 
 /* What a task takes. */
 static inline struct cw_resources
-owner_need(const struct cw_step_spec *spec)
+owner_step_need(const struct cw_step_spec *spec)
 {
     struct cw_resources need = {
         .cpu_milli = spec->fills ? 0 : spec->cpu_milli,
@@ -475,7 +490,8 @@
 }
 
 static inline void
-owner_resources_take(struct cw_resources *sum, const struct cw_resources *part)
+owner_resources_subtract(struct cw_resources *sum,
+                         const struct cw_resources *part)
 {
     sum->cpu_milli -= part->cpu_milli;
     sum->memory_mb -= part->memory_mb;
@@ -484,7 +500,7 @@
 
 /* Tasks of the step that are neither done nor have a run. */
 static inline unsigned
-owner_step_waiting(const struct owner_step *step)
+owner_step_waiting_tasks(const struct owner_step *step)
 {
     return step->left - MIN(step->left, step->runs);
 }
@@ -514,13 +530,14 @@
 void owner_step_stop(struct cw_owner *owner, struct owner_step *step);
 
 /* Makes a run leave its worker: a gang stops whole, a task alone. */
-void owner_run_leave(struct cw_owner *owner, struct owner_run *run);
+void owner_run_evict(struct cw_owner *owner, struct owner_run *run);
 
 /* Turns reserved runs whose place is free into new ones. */
-void owner_runs_settle(struct cw_owner *owner, struct owner_target *target);
+void owner_runs_promote_reserved(struct cw_owner *owner,
+                                 struct owner_target *target);
 
 /* Keeps a checkpoint that a worker has listed; "" is none. */
-void owner_task_keep(struct owner_task *task, const char *saved);
+void owner_task_save_checkpoint(struct owner_task *task, const char *saved);
 
 /* Applies an end that a worker has listed. */
 void owner_run_ended(struct cw_owner *owner, struct owner_target *target,
@@ -535,8 +552,8 @@
                         struct timespec now);
 
 /* Makes a run leave its worker, for a cause that does not lie in its job. */
-void owner_run_displace(struct cw_owner *owner, struct owner_run *run,
-                        enum owner_idle_cause cause);
+void owner_run_evict_for(struct cw_owner *owner, struct owner_run *run,
+                         enum owner_idle_cause cause);
 
 /* ---- owner_hints.c ---- */
 
@@ -545,11 +562,11 @@
 
 /* An end was applied; it is not stored yet. */
 void
-owner_hints_note(struct owner_target *target, const struct cw_ended *ended);
+owner_hints_add_end(struct owner_target *target, const struct cw_ended *ended);
 
 /* The owner is about to forget its workers: ends that are not known to be
  * stored, of workers that leave, are told to whoever decides next. */
-void owner_hints_collect(struct cw_owner *owner);
+void owner_hints_queue_unstored(struct cw_owner *owner);
 
 /* Sends what is due; returns when it wants to be called next. */
 struct timespec owner_hints_tick(struct cw_owner *owner, struct timespec now);
@@ -559,30 +576,31 @@
                       const struct cw_hint_record *hint);
 
 /* Applies all that former owners have told. */
-void owner_hints_adopt(struct cw_owner *owner);
+void owner_hints_apply_all(struct cw_owner *owner);
 
-/* ---- owner_once.c ---- */
+/* ---- owner_at_most_once.c ---- */
 
 /* True if the run must not be stopped for others' sake: it may have begun
  * work that must not be begun a second time. */
-bool owner_once_protects(const struct owner_run *run);
+bool owner_at_most_once_protects(const struct owner_run *run);
 
 /* True if the step's waiting tasks, once started, would leave every other
  * account's guarantee reclaimable. */
-bool owner_once_may_begin(const struct cw_owner *owner,
-                          const struct owner_step *step);
+bool owner_at_most_once_may_start(const struct cw_owner *owner,
+                                  const struct owner_step *step);
 
 /* A run is over without being done.  Ends its job if that may be begun only
  * once and the run may have worked; call it before the run is dropped. */
-void owner_once_over(struct cw_owner *owner, const struct owner_run *run,
-                     bool worked, enum cw_result reason);
+void owner_at_most_once_run_over(struct cw_owner *owner,
+                                 const struct owner_run *run, bool worked,
+                                 enum cw_result reason);
 
 /* ---- owner_residency.c ---- */
 
 /* True if the job may run in the data centre, under the configuration in
  * force. */
-bool owner_permits(const struct cw_owner *owner, const struct owner_job *job,
-                   const char *dc);
+bool owner_dc_permitted(const struct cw_owner *owner,
+                        const struct owner_job *job, const char *dc);
 
 /* Stops what runs where its data may no longer live. */
 void owner_residency_enforce(struct cw_owner *owner);
@@ -593,7 +611,8 @@
 
 /* Gives up the places on the worker to which nothing was sent yet, so that
  * what waits for them is placed elsewhere; `log` is told of each before. */
-void owner_places_give_up(struct cw_owner *owner, struct owner_target *target,
+void
+owner_unsent_runs_give_up(struct cw_owner *owner, struct owner_target *target,
                           void (*log)(const struct cw_owner *owner,
                                       const struct owner_run *run,
                                       struct timespec now));
@@ -602,7 +621,7 @@
 
 /* True if work may be started in the worker's data centre by the configuration
  * and the operators' orders. */
-bool owner_target_takes_work(const struct owner_target *target);
+bool owner_target_accepts_work(const struct owner_target *target);
 
 /* False if operators' orders were not read for so long that starts have to
  * wait; `next` is brought forward to when that may be over. */
@@ -627,29 +646,30 @@
 
 /* The worker has listed ends that were applied: they are confirmed to it
  * once that is stored. */
-void owner_target_has_ends(struct owner_target *target);
+void owner_target_ends_applied(struct owner_target *target);
 struct owner_target *owner_target_get(struct cw_owner *owner, const char *id);
 
 /* What a worker says of itself; `context` is the owner. */
-void
-owner_target_take_report(void *context, const struct cw_target_report *report);
+void owner_target_apply_report(void *context,
+                               const struct cw_target_report *report);
 
 /* A record of the workers' topic. */
-void owner_target_record(void *context, const struct cw_store_record *record);
+void
+owner_target_apply_record(void *context, const struct cw_store_record *record);
 void owner_targets_reset(void *context);
 void owner_targets_loaded(void *context);
 
 /* Notes the clock in an answer. */
-void owner_target_clock(struct owner_target *target, int64_t clock_ms,
-                        struct timespec now);
+void owner_target_set_clock(struct owner_target *target, int64_t clock_ms,
+                            struct timespec now);
 
 /* True if a run was sent there, by this owner or an earlier one. */
 bool owner_target_has_ordered_run(const struct owner_target *target);
 
 /* Since the last look was sent that it has answered, for logs; -1: it has
  * answered none of this owner's. */
-int64_t
-owner_target_heard_ms(const struct owner_target *target, struct timespec now);
+int64_t owner_target_since_answer_ms(const struct owner_target *target,
+                                     struct timespec now);
 
 /* All its runs are lost. */
 void owner_target_lost(struct cw_owner *owner, struct owner_target *target,
@@ -657,8 +677,8 @@
 
 /* True if what the worker says of its room can be built on: it is lately said,
  * or the worker refuses what does not fit. */
-bool owner_target_room_known(const struct owner_target *target,
-                             struct timespec now);
+bool owner_target_capacity_known(const struct owner_target *target,
+                                 struct timespec now);
 
 /* True if it takes orders, as far as known. */
 bool
@@ -670,9 +690,10 @@
 owner_target_usable(const struct owner_target *target, struct timespec now);
 
 /* A task failed there by itself, or stood still; work there went well. */
-void owner_target_blame(struct owner_target *target,
-                        const struct owner_task *task, struct timespec now);
-void owner_target_praise(struct owner_target *target);
+void
+owner_target_add_failure(struct owner_target *target,
+                         const struct owner_task *task, struct timespec now);
+void owner_target_add_success(struct owner_target *target);
 
 /* ---- owner_orders.c ---- */
 
@@ -700,25 +721,27 @@
 owner_orders_send(struct cw_owner *owner, struct owner_target *target,
                   struct timespec now);
 
-/* ---- owner_pace.c ---- */
+/* ---- owner_order_window.c ---- */
 
 /* A new owner begins with a small number. */
-void owner_pace_reset(struct owner_pace *pace);
+void owner_order_window_reset(struct owner_order_window *order_window);
 
 /* An order was answered after so long. */
-void owner_pace_answered(struct owner_pace *pace, int64_t took_ms);
+void owner_order_window_answered(struct owner_order_window *order_window,
+                                 int64_t took_ms);
 
 /* Sets the limit by the answers of late; to be called each 100 ms. */
-void owner_pace_adjust(struct owner_pace *pace);
+void owner_order_window_adjust(struct owner_order_window *order_window);
 
 /* True if more may be placed. */
-bool owner_pace_allows(const struct owner_pace *pace, bool urgent);
+bool owner_order_window_allows(const struct owner_order_window *order_window,
+                               bool urgent);
 
-/* ---- owner_holds.c ---- */
+/* ---- owner_polls.c ---- */
 
 /* Extends leases and looks at runs where it is due; returns when next. */
 struct timespec
-owner_hold_tick(struct cw_owner *owner, struct owner_target *target,
+owner_poll_tick(struct cw_owner *owner, struct owner_target *target,
                 struct timespec now);
 
 /* ---- owner_tombstones.c ---- */
@@ -744,26 +767,26 @@
 struct timespec
 owner_tombstone_tick(struct owner_target *target, struct timespec now);
 
-/* ---- owner_notes.c ---- */
+/* ---- owner_lease_notes.c ---- */
 
 /* Takes the notes over that stand in the log, after the bounds of leases that
  * hold without them are set. */
-void owner_notes_adopt(struct cw_owner *owner);
+void owner_lease_notes_adopt(struct cw_owner *owner);
 
 /* Finds out whether the worker's note is to be written, or taken back; returns
  * when the worker is to be attended to next because of that. */
 struct timespec
-owner_note_tick(struct cw_owner *owner, struct owner_target *target,
-                struct timespec now);
+owner_lease_note_tick(struct cw_owner *owner, struct owner_target *target,
+                      struct timespec now);
 
 /* Sends what is due on the idle log of jobs; false if there is nothing. */
-bool owner_notes_send(struct cw_owner *owner, struct timespec now);
+bool owner_lease_notes_send(struct cw_owner *owner, struct timespec now);
 
 /* ---- owner_speed.c ---- */
 
 /* A worker listed how far a run has come. */
-void owner_speed_note(struct cw_owner *owner, struct owner_run *run,
-                      unsigned percent, struct timespec now);
+void owner_speed_observe(struct cw_owner *owner, struct owner_run *run,
+                         unsigned percent, struct timespec now);
 
 /* ---- owner_commit.c ---- */
 
@@ -771,12 +794,12 @@
 struct timespec owner_commit_tick(struct cw_owner *owner, struct timespec now);
 
 /* Tells all VMs where the job stands, if that has changed. */
-void owner_job_tell(struct cw_owner *owner, struct owner_job *job);
+void owner_job_publish(struct cw_owner *owner, struct owner_job *job);
 
 /* The store need not keep the job's state any more. */
 void owner_state_drop(struct cw_owner *owner, const char *job);
 
 /* Drops the records of jobs that ended long ago. */
-void owner_sweep(struct cw_owner *owner);
+void owner_drop_old_records(struct cw_owner *owner);
 
 #endif
--- a/src/owner/internal/owner_spare.h
+++ b/src/owner/internal/owner_spare.h
@@ -6,19 +6,21 @@
 #include "owner/internal/owner_private.h"
 
 /* What keeps a step from room on a worker; the first that holds. */
-enum owner_keeper {
-    OWNER_KEEPER_NONE,    /* the next pass of placement may take it */
-    OWNER_KEEPER_BOOKED,  /* runs are placed there that it has not confirmed */
-    OWNER_KEEPER_AVOIDED, /* it failed, was late, slow, full, or is on trial */
-    OWNER_KEEPER_RACK,    /* its rack is kept clear for a gang */
-    OWNER_KEEPER_URGENT,  /* it is kept free for urgent work */
-    OWNER_KEEPERS
+enum owner_blocker {
+    OWNER_BLOCKER_NONE,        /* the next pass of placement may take it */
+    OWNER_BLOCKER_UNCONFIRMED, /* runs are placed there that it has not
+                                  confirmed */
+    OWNER_BLOCKER_AVOIDED,  /* it failed, was late, slow, full, or is on trial
+                             */
+    OWNER_BLOCKER_RACK,     /* its rack is kept clear for a gang */
+    OWNER_BLOCKER_HEADROOM, /* it is kept free for urgent work */
+    OWNER_BLOCKERS
 };
 
 /* Tasks of a step that would fit into what is free. */
 struct owner_spare_fit {
     unsigned tasks;
-    unsigned by_keeper[OWNER_KEEPERS];
+    unsigned by_blocker[OWNER_BLOCKERS];
     bool twice; /* what can only begin together, a task or a gang, fits twice,
                    and once within a rack if it belongs into one */
 };
--- a/src/owner/owner.c
+++ b/src/owner/owner.c
@@ -26,28 +26,28 @@
 static void
 forget_states(struct cw_owner *owner)
 {
-    owner_stored_free(owner->stored);
+    owner_state_reader_free(owner->stored);
     owner->stored = NULL;
 }
 
 static void
 drop_state(struct cw_owner *owner)
 {
-    owner_hints_collect(owner);
-    owner_epochs_collect(owner);
+    owner_hints_queue_unstored(owner);
+    owner_epochs_on_ownership_lost(owner);
     owner->term++;
-    owner->idle_looks = 0;
+    owner->idle_polls_in_flight = 0;
     owner_due_clear(owner->due);
     g_ptr_array_set_size(owner->ends_new, 0);
     g_ptr_array_set_size(owner->ends_sent, 0);
-    g_ptr_array_set_size(owner->notes_due, 0);
-    g_hash_table_remove_all(owner->lives);
+    g_ptr_array_set_size(owner->lease_notes_due, 0);
+    g_hash_table_remove_all(owner->targets_by_address);
     g_hash_table_remove_all(owner->targets);
     g_hash_table_remove_all(owner->racks);
-    g_array_set_size(owner->rack_hosts, 0);
+    g_array_set_size(owner->rack_lower_priority_workers, 0);
     g_hash_table_remove_all(owner->jobs);
     g_ptr_array_set_size(owner->dirty, 0);
-    g_ptr_array_set_size(owner->untold, 0);
+    g_ptr_array_set_size(owner->unpublished, 0);
     g_ptr_array_set_size(owner->past_states, 0);
     owner_log_close(owner->states_log);
     owner_log_close(owner->jobs_log);
@@ -59,35 +59,35 @@
 }
 
 void
-owner_depose(struct cw_owner *owner, const char *reason)
+owner_drop_ownership(struct cw_owner *owner, const char *reason)
 {
     cw_log_info("owner_ends", "shard=%u epoch=%" PRIu64 " reason=%s jobs=%u",
                 owner->options.partition, owner->epoch, reason,
                 g_hash_table_size(owner->jobs));
     cw_count_add(owner->options.counters, CW_COUNT_YIELDS, 1);
     drop_state(owner);
-    owner->holds_partition = false;
+    owner->partition_assigned = false;
     owner->yielding = false;
     owner->join_due = cw_time_from_ms(0);
-    cw_follower_set_pace(cw_replica_follower(owner->options.replica),
-                         owner->options.standby_pace_ms);
+    cw_follower_set_read_interval(cw_replica_follower(owner->options.replica),
+                                  owner->options.standby_read_interval_ms);
 }
 
 bool
 owner_may_order(const struct cw_owner *owner, struct timespec now)
 {
     return owner->state == OWNER_ACTIVE &&
-           cw_time_diff_ms(owner->proof_at, now) <
+           cw_time_diff_ms(owner->ownership_confirmed_at, now) <
                (int64_t)owner->options.member_ttl_ms - ORDER_PROOF_SLACK_MS;
 }
 
 void
-owner_prove(struct cw_owner *owner, struct timespec asked)
+owner_confirm_ownership(struct cw_owner *owner, struct timespec asked)
 {
     bool could = owner_may_order(owner, owner_now(owner));
 
-    if (cw_time_before(owner->proof_at, asked)) {
-        owner->proof_at = asked;
+    if (cw_time_before(owner->ownership_confirmed_at, asked)) {
+        owner->ownership_confirmed_at = asked;
     }
     if (!could) {
         owner_targets_wake_all(owner); /* their orders have waited */
@@ -103,7 +103,7 @@
 {
     struct cw_owner *owner = context;
     const struct cw_replica_job *job =
-        cw_replica_find(owner->options.replica, id);
+        cw_replica_find_job(owner->options.replica, id);
     bool past = job == NULL || job->spec == NULL ||
                 cw_work_is_over(job->recorded_phase);
 
@@ -120,21 +120,21 @@
     gpointer value;
 
     owner->state = OWNER_ACTIVE;
-    owner_pace_reset(&owner->pace);
-    owner->place_wanted = true;
+    owner_order_window_reset(&owner->order_window);
+    owner->placement_wanted = true;
     owner->sweep_due = cw_time_add_ms(now, SWEEP_EVERY_MS);
     g_hash_table_iter_init(&iterator, jobs);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         owner_job_adopt(owner, value);
     }
-    owner_stored_each(owner->stored, drop_if_past, owner);
+    owner_state_reader_each(owner->stored, drop_if_past, owner);
     forget_states(owner);
     owner_epochs_bound_leases(owner, now);
-    owner_notes_adopt(owner);
-    owner_hints_adopt(owner);
+    owner_lease_notes_adopt(owner);
+    owner_hints_apply_all(owner);
     cw_count_add(owner->options.counters, CW_COUNT_TAKEOVERS, 1);
     cw_count_latency(owner->options.counters, CW_LATENCY_TAKEOVER,
-                     cw_time_diff_ms(owner->began, now));
+                     cw_time_diff_ms(owner->takeover_began_at, now));
     cw_log_info("owner_begins",
                 "shard=%u epoch=%" PRIu64 " generation=%" PRIu64
                 " jobs=%u targets=%u took_ms=%" PRId64 " read_ms=%" PRId64
@@ -142,10 +142,10 @@
                 owner->options.partition, owner->epoch,
                 owner->epoch_generation, g_hash_table_size(owner->jobs),
                 g_hash_table_size(owner->targets),
-                cw_time_diff_ms(owner->began, now),
-                cw_time_diff_ms(owner->began, owner->read_up),
-                cw_time_diff_ms(owner->read_up, owner->fenced),
-                cw_time_diff_ms(owner->fenced, now));
+                cw_time_diff_ms(owner->takeover_began_at, now),
+                cw_time_diff_ms(owner->takeover_began_at, owner->fencing_at),
+                cw_time_diff_ms(owner->fencing_at, owner->fenced_at),
+                cw_time_diff_ms(owner->fenced_at, now));
 }
 
 static void
@@ -156,10 +156,10 @@
         .store = owner->options.store,
         .clock = owner->options.clock,
         .topic = owner->options.codec->targets_topic,
-        .pace_ms = REPORTS_PACE_MS,
+        .read_interval_ms = REPORTS_PACE_MS,
         .handler = {.reset = owner_targets_reset,
                     .loaded = owner_targets_loaded,
-                    .record = owner_target_record,
+                    .record = owner_target_apply_record,
                     .context = owner},
     };
 
@@ -167,7 +167,7 @@
 }
 
 void
-owner_begin(struct cw_owner *owner, struct timespec now)
+owner_take_over(struct cw_owner *owner, struct timespec now)
 {
     if (owner->generation != owner->epoch_generation) {
         owner->epoch_generation = owner->generation;
@@ -177,27 +177,27 @@
                    MIN(owner->epoch_count, EPOCHS_PER_GENERATION - 1);
     owner->epoch_count++;
     owner->state = OWNER_READING;
-    owner->began = now;
-    cw_follower_set_pace(cw_replica_follower(owner->options.replica),
-                         CW_OWNER_PACE_MS);
+    owner->takeover_began_at = now;
+    cw_follower_set_read_interval(cw_replica_follower(owner->options.replica),
+                                  CW_OWNER_READ_INTERVAL_MS);
     if (!cw_follower_at_end(cw_replica_follower(owner->options.replica))) {
-        cw_follower_hurry(cw_replica_follower(owner->options.replica));
+        cw_follower_read_now(cw_replica_follower(owner->options.replica));
     }
     follow_reports(owner);
-    owner->stored = owner_stored_create(
+    owner->stored = owner_state_reader_create(
         owner->options.store, owner->options.clock, owner->options.partition);
 }
 
 static void
 on_log_proved(void *context, struct timespec sent)
 {
-    owner_prove(context, sent);
+    owner_confirm_ownership(context, sent);
 }
 
 static void
 on_log_lost(void *context, const char *reason)
 {
-    owner_depose(context, reason);
+    owner_drop_ownership(context, reason);
 }
 
 static struct owner_log *
@@ -209,7 +209,7 @@
         .counters = owner->options.counters,
         .topic = topic,
         .partition = owner->options.partition,
-        .proved = on_log_proved,
+        .confirmed = on_log_proved,
         .lost = on_log_lost,
         .context = owner,
     };
@@ -221,7 +221,7 @@
 fence_earlier_owners(struct cw_owner *owner)
 {
     owner->state = OWNER_FENCING;
-    owner->read_up = owner_now(owner);
+    owner->fencing_at = owner_now(owner);
     owner_log_open(owner->states_log, owner->epoch);
     if (owner->state == OWNER_FENCING) {
         owner_log_open(owner->jobs_log, owner->epoch);
@@ -237,7 +237,8 @@
 {
     const struct cw_follower *jobs =
         cw_replica_follower(owner->options.replica);
-    const struct cw_follower *states = owner_stored_follower(owner->stored);
+    const struct cw_follower *states =
+        owner_state_reader_follower(owner->stored);
 
     if (!cw_follower_loaded(jobs) || !cw_follower_loaded(states) ||
         !cw_follower_loaded(owner->reports))
@@ -245,7 +246,7 @@
         return false;
     }
     return (cw_follower_at_end(jobs) && cw_follower_at_end(states)) ||
-           cw_time_diff_ms(owner->began, now) > READ_UP_MOST_MS;
+           cw_time_diff_ms(owner->takeover_began_at, now) > READ_UP_MOST_MS;
 }
 
 /* True once its epoch is recorded, and all is read that was written before
@@ -255,14 +256,15 @@
 {
     const struct cw_follower *jobs =
         cw_replica_follower(owner->options.replica);
-    const struct cw_follower *states = owner_stored_follower(owner->stored);
+    const struct cw_follower *states =
+        owner_state_reader_follower(owner->stored);
 
-    return owner_epochs_recorded(owner) && cw_follower_loaded(jobs) &&
+    return owner_epochs_begin_is_stored(owner) && cw_follower_loaded(jobs) &&
            cw_follower_loaded(states) && cw_follower_loaded(owner->reports) &&
            cw_follower_position(jobs) >=
-               owner_log_opened_at(owner->jobs_log) &&
+               owner_log_open_offset(owner->jobs_log) &&
            cw_follower_position(states) >=
-               owner_log_opened_at(owner->states_log);
+               owner_log_open_offset(owner->states_log);
 }
 
 /* ---- what the replica tells ---- */
@@ -304,7 +306,7 @@
     struct cw_owner *owner = context;
 
     if (owner->state == OWNER_ACTIVE && epoch > owner->epoch) {
-        owner_depose(owner, "later_epoch");
+        owner_drop_ownership(owner, "later_epoch");
     }
 }
 
@@ -329,10 +331,10 @@
     }
     if (is_disowned(owner, vm)) {
         cw_log_error("name_in_use", "vm=%s epoch=%" PRIu64, vm, owner->epoch);
-        owner_depose(owner, "name_in_use");
+        owner_drop_ownership(owner, "name_in_use");
     }
     else {
-        owner_epochs_other_ended(owner, vm);
+        owner_epochs_on_other_ended(owner, vm);
     }
 }
 
@@ -358,12 +360,13 @@
 cw_owner_create(const struct cw_owner_options *options)
 {
     struct cw_owner *owner = g_new0(struct cw_owner, 1);
-    struct cw_replica_listener listener = {.changed = on_changed,
-                                           .hinted = on_hinted,
+    struct cw_replica_listener listener = {.job_changed = on_changed,
+                                           .hint_received = on_hinted,
                                            .vm_announced = on_vm_announced,
                                            .epoch_began = on_epoch_began,
                                            .epoch_ended = on_epoch_ended,
-                                           .owner_wrote = on_owner_wrote,
+                                           .owner_record_received =
+                                               on_owner_wrote,
                                            .context = owner};
 
     owner->options = *options;
@@ -373,8 +376,8 @@
     if (options->report_ms == 0) {
         owner->options.report_ms = REPORT_EVERY_MS;
     }
-    if (options->standby_pace_ms == 0) {
-        owner->options.standby_pace_ms = CW_STANDBY_PACE_MS;
+    if (options->standby_read_interval_ms == 0) {
+        owner->options.standby_read_interval_ms = CW_STANDBY_READ_INTERVAL_MS;
     }
     owner->member = g_strdup(options->member);
     owner->vm = g_strdup(options->vm);
@@ -385,19 +388,20 @@
     owner->headroom =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     owner->states_log = create_log(owner, CW_STATE_TOPIC);
-    owner->jobs_log = create_log(owner, CW_WORK_TOPIC);
+    owner->jobs_log = create_log(owner, CW_JOBS_TOPIC);
     owner->due = owner_due_create();
     owner->racks = g_hash_table_new(NULL, NULL);
-    owner->rack_hosts = g_array_new(FALSE, TRUE, sizeof(unsigned));
-    owner->open = owner_open_create();
-    owner_pace_reset(&owner->pace);
+    owner->rack_lower_priority_workers =
+        g_array_new(FALSE, TRUE, sizeof(unsigned));
+    owner->open = owner_available_create();
+    owner_order_window_reset(&owner->order_window);
     owner->ends_new = g_ptr_array_new();
     owner->ends_sent = g_ptr_array_new();
-    owner->lives =
+    owner->targets_by_address =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     owner->dirty = g_ptr_array_new();
-    owner->untold = g_ptr_array_new();
-    owner->notes_due = g_ptr_array_new();
+    owner->unpublished = g_ptr_array_new();
+    owner->lease_notes_due = g_ptr_array_new();
     owner->past_states = g_ptr_array_new_with_free_func(g_free);
     owner->demand = g_hash_table_new(g_str_hash, g_str_equal);
     owner->memo = owner_memo_create();
@@ -424,14 +428,14 @@
     owner_log_free(owner->jobs_log);
     owner_due_free(owner->due);
     g_hash_table_unref(owner->racks);
-    g_array_unref(owner->rack_hosts);
-    owner_open_free(owner->open);
+    g_array_unref(owner->rack_lower_priority_workers);
+    owner_available_free(owner->open);
     g_ptr_array_unref(owner->ends_new);
     g_ptr_array_unref(owner->ends_sent);
-    g_hash_table_unref(owner->lives);
+    g_hash_table_unref(owner->targets_by_address);
     g_ptr_array_unref(owner->dirty);
-    g_ptr_array_unref(owner->untold);
-    g_ptr_array_unref(owner->notes_due);
+    g_ptr_array_unref(owner->unpublished);
+    g_ptr_array_unref(owner->lease_notes_due);
     g_ptr_array_unref(owner->past_states);
     g_hash_table_unref(owner->demand);
     owner_candidacy_clear(owner);
@@ -447,7 +451,7 @@
 {
     cw_routing_unref(owner->routing);
     owner->routing = cw_routing_ref(routing);
-    owner->place_wanted = true;
+    owner->placement_wanted = true;
 }
 
 bool
@@ -468,8 +472,8 @@
 
     owner_drain_tick(owner, target, now);
     cw_time_earlier(&next, owner_orders_send(owner, target, now));
-    cw_time_earlier(&next, owner_hold_tick(owner, target, now));
-    cw_time_earlier(&next, owner_note_tick(owner, target, now));
+    cw_time_earlier(&next, owner_poll_tick(owner, target, now));
+    cw_time_earlier(&next, owner_lease_note_tick(owner, target, now));
     return next;
 }
 
@@ -478,7 +482,7 @@
 {
     struct owner_due_entry *entry;
 
-    while ((entry = owner_due_take(owner->due, now)) != NULL) {
+    while ((entry = owner_due_pop(owner->due, now)) != NULL) {
         struct owner_target *target = (struct owner_target *)entry;
         struct timespec next = tick_target(owner, target, now);
 
@@ -486,9 +490,9 @@
             break;
         }
         /* Not at once again, whatever is overdue. */
-        owner_due_by(owner->due, entry,
-                     cw_time_before(now, next) ? next
-                                               : cw_time_add_ms(now, 1));
+        owner_due_schedule(owner->due, entry,
+                           cw_time_before(now, next) ? next
+                                                     : cw_time_add_ms(now, 1));
     }
     return owner_due_next(owner->due);
 }
@@ -503,11 +507,11 @@
         return;
     }
     owner->check_due = cw_time_add_ms(now, CHECK_EVERY_MS);
-    owner_pace_adjust(&owner->pace);
-    owner->place_wanted = true;
+    owner_order_window_adjust(&owner->order_window);
+    owner->placement_wanted = true;
     g_hash_table_iter_init(&iterator, owner->jobs);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        if (owner_job_is_past(value)) {
+        if (owner_job_is_removable(value)) {
             const struct owner_job *job = value;
 
             owner_state_drop(owner, job->spec->id);
@@ -518,7 +522,7 @@
         owner_job_open_due(owner, value, now);
     }
     owner_residency_enforce(owner);
-    owner_waits_tick(owner, now);
+    owner_idle_tick(owner, now);
 }
 
 /* A pass takes at most one part in PLACE_SHARE of the time, however long it
@@ -528,10 +532,10 @@
 {
     int64_t took_ms;
 
-    owner->place_wanted = false;
-    owner_place(owner, now);
+    owner->placement_wanted = false;
+    owner_placement_pass(owner, now);
     took_ms = cw_time_diff_ms(now, owner_now(owner));
-    owner->place_due =
+    owner->placement_due =
         cw_time_add_ms(now, MAX(PLACE_EVERY_MS, took_ms * PLACE_SHARE));
 }
 
@@ -541,18 +545,18 @@
     struct timespec next = cw_time_add_ms(now, CHECK_EVERY_MS);
 
     if (owner->yielding && !owner_may_order(owner, now)) {
-        owner_depose(owner, "yielded");
+        owner_drop_ownership(owner, "yielded");
         return now;
     }
     cw_follower_tick(owner->reports, now);
     cw_time_earlier(&next, cw_follower_due(owner->reports));
     tick_jobs(owner, now);
-    if (owner->place_wanted && owner_may_order(owner, now)) {
-        if (!cw_time_before(now, owner->place_due)) {
+    if (owner->placement_wanted && owner_may_order(owner, now)) {
+        if (!cw_time_before(now, owner->placement_due)) {
             place(owner, now);
         }
         else {
-            cw_time_earlier(&next, owner->place_due);
+            cw_time_earlier(&next, owner->placement_due);
         }
     }
     cw_time_earlier(&next, owner_commit_tick(owner, now));
@@ -562,7 +566,7 @@
     cw_time_earlier(&next, tick_targets(owner, now));
     if (!cw_time_before(now, owner->sweep_due)) {
         owner->sweep_due = cw_time_add_ms(now, SWEEP_EVERY_MS);
-        owner_sweep(owner);
+        owner_drop_old_records(owner);
     }
     return next;
 }
@@ -575,7 +579,7 @@
     struct timespec next = cw_time_add_ms(now, TAKEOVER_STEP_MS);
 
     cw_follower_tick(owner->reports, now);
-    cw_follower_tick(owner_stored_follower(owner->stored), now);
+    cw_follower_tick(owner_state_reader_follower(owner->stored), now);
     owner_log_tick(owner->states_log, now);
     owner_log_tick(owner->jobs_log, now);
     if (owner->state == OWNER_READING && has_read_up(owner, now)) {
@@ -585,13 +589,13 @@
         owner_log_is_open(owner->states_log) &&
         owner_log_is_open(owner->jobs_log))
     {
-        owner->state = OWNER_CATCHING;
-        owner->fenced = now;
-        owner_epochs_record(owner);
-        cw_follower_hurry(cw_replica_follower(owner->options.replica));
-        cw_follower_hurry(owner_stored_follower(owner->stored));
+        owner->state = OWNER_CATCHING_UP;
+        owner->fenced_at = now;
+        owner_epochs_write_begin(owner);
+        cw_follower_read_now(cw_replica_follower(owner->options.replica));
+        cw_follower_read_now(owner_state_reader_follower(owner->stored));
     }
-    if (owner->state == OWNER_CATCHING && caught_up(owner)) {
+    if (owner->state == OWNER_CATCHING_UP && caught_up(owner)) {
         begin_deciding(owner, now);
     }
     return next;
--- a/src/owner/owner_once.c
+++ b/src/owner/owner_at_most_once.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 bool
-owner_once_protects(const struct owner_run *run)
+owner_at_most_once_protects(const struct owner_run *run)
 {
     return owner_task_job(run->task)->spec->once && run->phase >= RUN_STARTING;
 }
@@ -41,8 +41,8 @@
         if (strcmp(target->service, service) != 0) {
             continue;
         }
-        if (target->listed && !target->draining && !target->gone &&
-            owner_target_takes_work(target))
+        if (target->listed && !target->draining && !target->superseded &&
+            owner_target_accepts_work(target))
         {
             total += target->capacity.accelerators;
         }
@@ -70,7 +70,7 @@
     g_hash_table_iter_init(&iterator, held);
     while (g_hash_table_iter_next(&iterator, &key, &value)) {
         const struct cw_account *account =
-            cw_routing_account_named(routing, key);
+            cw_routing_account_by_name(routing, key);
         int64_t guaranteed =
             account != NULL ? account->guaranteed_accelerators : 0;
 
@@ -96,8 +96,8 @@
  * beside that only what no guarantee covers: the rest has to stay
  * reclaimable. */
 bool
-owner_once_may_begin(const struct cw_owner *owner,
-                     const struct owner_step *step)
+owner_at_most_once_may_start(const struct cw_owner *owner,
+                             const struct owner_step *step)
 {
     const struct cw_work_spec *spec = step->occurrence->job->spec;
     GHashTable *held;
@@ -110,7 +110,8 @@
     held = g_hash_table_new(g_str_hash, g_str_equal);
     total = count_held(owner, spec->service, held);
     add_held(held, spec->account,
-             (int64_t)owner_step_waiting(step) * step->spec->accelerators);
+             (int64_t)owner_step_waiting_tasks(step) *
+                 step->spec->accelerators);
     beyond = held_beyond_guarantees(owner->routing, held);
     g_hash_table_unref(held);
     return beyond == 0 || beyond + all_guarantees(owner->routing) <= total;
@@ -124,16 +125,17 @@
 {
     const struct owner_step *step = run->task->step;
 
-    return step->spec->gang && step->unstarted_run >= run->number;
+    return step->spec->gang && step->unstarted_run_max >= run->number;
 }
 
 void
-owner_once_over(struct cw_owner *owner, const struct owner_run *run,
-                bool worked, enum cw_result reason)
+owner_at_most_once_run_over(struct cw_owner *owner,
+                            const struct owner_run *run, bool worked,
+                            enum cw_result reason)
 {
     struct owner_job *job = owner_task_job(run->task);
 
-    if (!job->spec->once || cw_work_is_over(job->phase) || run->finished ||
+    if (!job->spec->once || cw_work_is_over(job->phase) || run->gang_done ||
         run->phase < RUN_STARTING || !worked || gang_never_whole(run))
     {
         return;
--- a/src/owner/owner_open.c
+++ b/src/owner/owner_available.c
@@ -5,31 +5,31 @@
  * shrinks, until a run is dropped; then the list is made anew. */
 #include "owner/internal/owner_placement.h"
 
-struct owner_open {
+struct owner_available {
     GPtrArray *targets; /* struct owner_target */
     bool listed;
-    uint64_t room_version;     /* of the owner, when they were listed */
+    uint64_t capacity_version; /* of the owner, when they were listed */
     struct cw_resources least; /* of what the steps' tasks take */
 };
 
-struct owner_open *
-owner_open_create(void)
+struct owner_available *
+owner_available_create(void)
 {
-    struct owner_open *open = g_new0(struct owner_open, 1);
+    struct owner_available *open = g_new0(struct owner_available, 1);
 
     open->targets = g_ptr_array_new();
     return open;
 }
 
 void
-owner_open_free(struct owner_open *open)
+owner_available_free(struct owner_available *open)
 {
     g_ptr_array_unref(open->targets);
     g_free(open);
 }
 
 void
-owner_open_begin(struct owner_open *open, const GPtrArray *steps)
+owner_available_reset(struct owner_available *open, const GPtrArray *steps)
 {
     open->listed = false;
     open->least = (struct cw_resources){.cpu_milli = INT64_MAX,
@@ -37,7 +37,7 @@
                                         .accelerators = INT64_MAX};
     for (guint i = 0; i < steps->len; i++) {
         const struct owner_step *step = steps->pdata[i];
-        struct cw_resources need = owner_need(step->spec);
+        struct cw_resources need = owner_step_need(step->spec);
 
         open->least.cpu_milli = MIN(open->least.cpu_milli, need.cpu_milli);
         open->least.memory_mb = MIN(open->least.memory_mb, need.memory_mb);
@@ -47,25 +47,25 @@
 }
 
 static bool
-has_room(const struct owner_open *open, const struct owner_target *target)
+has_room(const struct owner_available *open, const struct owner_target *target)
 {
-    struct cw_resources room = owner_room(target);
+    struct cw_resources room = owner_free_resources(target);
 
-    return owner_fits(&room, &open->least) > 0;
+    return owner_fit_count(&room, &open->least) > 0;
 }
 
 const GPtrArray *
-owner_open_targets(struct cw_owner *owner, struct timespec now)
+owner_available_targets(struct cw_owner *owner, struct timespec now)
 {
-    struct owner_open *open = owner->open;
+    struct owner_available *open = owner->open;
     GHashTableIter iterator;
     gpointer value;
 
-    if (open->listed && open->room_version == owner->room_version) {
+    if (open->listed && open->capacity_version == owner->capacity_version) {
         return open->targets;
     }
     open->listed = true;
-    open->room_version = owner->room_version;
+    open->capacity_version = owner->capacity_version;
     g_ptr_array_set_size(open->targets, 0);
     g_hash_table_iter_init(&iterator, owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
--- a/src/owner/owner_candidacy.c
+++ b/src/owner/owner_candidacy.c
@@ -63,9 +63,9 @@
         g_ptr_array_add(all, value);
     }
     g_ptr_array_sort(all, compare_descending);
-    candidacy->bar_milli = bar_of(all);
-    candidacy->some_weak =
-        GPOINTER_TO_UINT(all->pdata[all->len - 1]) < candidacy->bar_milli;
+    candidacy->weak_below_milli = bar_of(all);
+    candidacy->some_weak = GPOINTER_TO_UINT(all->pdata[all->len - 1]) <
+                           candidacy->weak_below_milli;
     g_ptr_array_unref(all);
 }
 
@@ -80,7 +80,7 @@
 static bool
 is_weak(const struct cw_owner *owner)
 {
-    return owner->options.capacity_milli < owner->candidacy.bar_milli;
+    return owner->options.capacity_milli < owner->candidacy.weak_below_milli;
 }
 
 void
@@ -105,7 +105,8 @@
                           unsigned capacity_milli)
 {
     set_capacity(owner, vm, capacity_milli);
-    if (is_weak(owner) && capacity_milli >= owner->candidacy.bar_milli) {
+    if (is_weak(owner) && capacity_milli >= owner->candidacy.weak_below_milli)
+    {
         owner->candidacy.outranked = true;
     }
 }
@@ -113,7 +114,7 @@
 /* ---- this VM's own announcement ---- */
 
 static void
-on_announced(void *context, const struct cw_store_appended *result)
+on_announced(void *context, const struct cw_store_append_result *result)
 {
     struct cw_owner *owner = context;
     struct owner_candidacy *candidacy = &owner->candidacy;
@@ -134,7 +135,7 @@
     struct cw_store_record record = {
         .key = key, .value = bytes->data, .length = bytes->len};
     struct cw_store_append call = {
-        .topic = CW_WORK_TOPIC,
+        .topic = CW_JOBS_TOPIC,
         .partition = owner->options.partition,
         .records = &record,
         .count = 1,
@@ -155,7 +156,7 @@
     struct owner_candidacy *candidacy = &owner->candidacy;
     struct cw_follower *jobs = cw_replica_follower(owner->options.replica);
 
-    if (cw_time_diff_ms(cw_follower_fresh(jobs), now) > READING_MS) {
+    if (cw_time_diff_ms(cw_follower_fresh_as_of(jobs), now) > READING_MS) {
         candidacy->reading_since = now;
     }
     if (cw_follower_loaded(jobs) && !candidacy->announced &&
@@ -177,7 +178,8 @@
 }
 
 bool
-owner_candidacy_wants(const struct cw_owner *owner, struct timespec now)
+owner_candidacy_wants_membership(const struct cw_owner *owner,
+                                 struct timespec now)
 {
     const struct owner_candidacy *candidacy = &owner->candidacy;
     struct cw_follower *jobs = cw_replica_follower(owner->options.replica);
@@ -189,13 +191,15 @@
         return true;
     }
     /* An announcement read since it joined is of a VM that lives. */
-    return owner->holds_partition ? !candidacy->outranked
-                                  : nobody_decides(candidacy, now);
+    return owner->partition_assigned ? !candidacy->outranked
+                                     : nobody_decides(candidacy, now);
 }
 
 bool
-owner_candidacy_beat_due(const struct cw_owner *owner, struct timespec now)
+owner_candidacy_heartbeat_due(const struct cw_owner *owner,
+                              struct timespec now)
 {
     return owner->candidacy.some_weak &&
-           cw_time_diff_ms(owner_log_sent(owner->jobs_log), now) >= BEAT_MS;
+           cw_time_diff_ms(owner_log_last_sent_at(owner->jobs_log), now) >=
+               BEAT_MS;
 }
--- a/src/owner/owner_candidates.c
+++ b/src/owner/owner_candidates.c
@@ -6,7 +6,8 @@
 #include <string.h>
 
 unsigned
-owner_fits(const struct cw_resources *room, const struct cw_resources *need)
+owner_fit_count(const struct cw_resources *room,
+                const struct cw_resources *need)
 {
     int64_t fits = G_MAXUINT16;
 
@@ -23,13 +24,13 @@
 }
 
 struct cw_resources
-owner_room(const struct owner_target *target)
+owner_free_resources(const struct owner_target *target)
 {
     struct cw_resources room = target->capacity;
 
-    owner_resources_take(&room, &target->used);
-    owner_resources_take(&room, &target->reserved);
-    owner_resources_take(&room, &target->orphans);
+    owner_resources_subtract(&room, &target->used);
+    owner_resources_subtract(&room, &target->reserved);
+    owner_resources_subtract(&room, &target->orphans);
     return room;
 }
 
@@ -51,13 +52,15 @@
 }
 
 bool
-owner_may_run(const struct owner_step *step, const struct owner_target *target)
+owner_step_allows_target(const struct owner_step *step,
+                         const struct owner_target *target)
 {
     const char *label = step->spec->label;
 
     if (target->service != step->occurrence->job->service ||
-        !owner_permits(target->owner, step->occurrence->job, target->dc) ||
-        !owner_target_takes_work(target))
+        !owner_dc_permitted(target->owner, step->occurrence->job,
+                            target->dc) ||
+        !owner_target_accepts_work(target))
     {
         return false;
     }
@@ -66,8 +69,8 @@
 }
 
 unsigned
-owner_most_there(const struct owner_step *step,
-                 const struct owner_target *target, unsigned fits)
+owner_limit_per_worker(const struct owner_step *step,
+                       const struct owner_target *target, unsigned fits)
 {
     unsigned most = step->spec->most_per_worker;
     unsigned there;
@@ -83,8 +86,8 @@
 static int
 owner_compare_speed(const struct owner_target *x, const struct owner_target *y)
 {
-    int a = (int)(x->life.speed / SPEED_STEP);
-    int b = (int)(y->life.speed / SPEED_STEP);
+    int a = (int)(x->incarnation.speed / OWNER_SPEED_STEP);
+    int b = (int)(y->incarnation.speed / OWNER_SPEED_STEP);
 
     return b - a;
 }
@@ -106,7 +109,7 @@
 }
 
 bool
-owner_candidate_idle(const struct owner_candidate *candidate)
+owner_candidate_is_idle(const struct owner_candidate *candidate)
 {
     return candidate->target->runs->len == 0;
 }
@@ -124,8 +127,8 @@
     if (speed != 0) {
         return speed;
     }
-    if (owner_candidate_idle(x) != owner_candidate_idle(y)) {
-        return owner_candidate_idle(x) ? 1 : -1;
+    if (owner_candidate_is_idle(x) != owner_candidate_is_idle(y)) {
+        return owner_candidate_is_idle(x) ? 1 : -1;
     }
     return by_room(a, b);
 }
@@ -138,11 +141,15 @@
     const struct owner_candidate *x = a;
     const struct owner_candidate *y = b;
 
-    if (x->rack_hosts != y->rack_hosts) {
-        return x->rack_hosts > y->rack_hosts ? -1 : 1;
+    if (x->rack_lower_priority_workers != y->rack_lower_priority_workers) {
+        return x->rack_lower_priority_workers > y->rack_lower_priority_workers
+                   ? -1
+                   : 1;
     }
-    if ((x->target->lower_runs > 0) != (y->target->lower_runs > 0)) {
-        return x->target->lower_runs > 0 ? -1 : 1;
+    if ((x->target->lower_priority_runs > 0) !=
+        (y->target->lower_priority_runs > 0))
+    {
+        return x->target->lower_priority_runs > 0 ? -1 : 1;
     }
     if (owner_compare_speed(x->target, y->target) != 0) {
         return -owner_compare_speed(x->target, y->target);
@@ -157,8 +164,8 @@
     const struct owner_candidate *x = a;
     const struct owner_candidate *y = b;
 
-    if (x->company != y->company) {
-        return x->company < y->company ? -1 : 1;
+    if (x->neighbour_weight != y->neighbour_weight) {
+        return x->neighbour_weight < y->neighbour_weight ? -1 : 1;
     }
     return by_room(a, b);
 }
@@ -174,12 +181,14 @@
 }
 
 bool
-owner_is_held(const struct owner_target *target, const struct owner_step *step,
-              struct timespec now)
+owner_target_is_reserved(const struct owner_target *target,
+                         const struct owner_step *step, struct timespec now)
 {
-    return target->held_for != NULL && target->held_for != step &&
-           cw_time_before(now, target->held_until) &&
-           target->held_priority < step->occurrence->job->spec->priority;
+    return target->rack_reserved_for != NULL &&
+           target->rack_reserved_for != step &&
+           cw_time_before(now, target->rack_reserved_until) &&
+           target->rack_reserved_priority <
+               step->occurrence->job->spec->priority;
 }
 
 /* Drops the workers by which lower work would spread too far: each of them
@@ -188,7 +197,7 @@
 keep_headroom(struct cw_owner *owner, const struct owner_step *step,
               GArray *candidates, struct timespec now)
 {
-    unsigned left = owner_headroom_left(
+    unsigned left = owner_headroom_workers_left(
         owner, step, step->occurrence->job->spec->service, now);
     guint i = 0;
 
@@ -196,7 +205,7 @@
         const struct owner_candidate *c =
             &g_array_index(candidates, struct owner_candidate, i);
 
-        if (c->target->lower_runs > 0) {
+        if (c->target->lower_priority_runs > 0) {
             i++;
         }
         else if (left > 0) {
@@ -210,7 +219,7 @@
 }
 
 unsigned
-owner_total_fits(const GArray *candidates)
+owner_total_fit_count(const GArray *candidates)
 {
     unsigned fits = 0;
 
@@ -225,19 +234,22 @@
 add_candidate(GArray *out, const struct owner_step *step,
               struct owner_target *target)
 {
-    struct cw_resources need = owner_need(step->spec);
+    struct cw_resources need = owner_step_need(step->spec);
     struct owner_candidate candidate = {.target = target};
 
-    candidate.room = owner_room(target);
-    candidate.fits = owner_fits(&candidate.room, &need);
-    if (candidate.fits == 0 || target->trials > 0 ||
-        !owner_may_run(step, target)) {
+    candidate.room = owner_free_resources(target);
+    candidate.fits = owner_fit_count(&candidate.room, &need);
+    if (candidate.fits == 0 || target->probation_runs > 0 ||
+        !owner_step_allows_target(step, target))
+    {
         return;
     }
-    candidate.fits = owner_most_there(step, target, candidate.fits);
-    candidate.company = step->suspects > 0 ? owner_company(target) : 0;
-    candidate.rack_hosts = g_array_index(target->owner->rack_hosts, unsigned,
-                                         target->rack_number);
+    candidate.fits = owner_limit_per_worker(step, target, candidate.fits);
+    candidate.neighbour_weight =
+        step->suspects > 0 ? owner_target_neighbour_weight(target) : 0;
+    candidate.rack_lower_priority_workers =
+        g_array_index(target->owner->rack_lower_priority_workers, unsigned,
+                      target->rack_number);
     if (candidate.fits > 0) {
         g_array_append_val(out, candidate);
     }
@@ -248,18 +260,19 @@
                  struct timespec now)
 {
     GArray *out = g_array_new(FALSE, FALSE, sizeof(struct owner_candidate));
-    const GPtrArray *open = owner_open_targets(owner, now);
+    const GPtrArray *open = owner_available_targets(owner, now);
     const struct owner_job *job = step->occurrence->job;
     bool lower = job->spec->priority > 0;
     /* Without it lower work stays on the workers that have some. */
-    bool spreads =
-        !lower || owner_headroom_left(owner, step, job->service, now) > 0;
+    bool spreads = !lower || owner_headroom_workers_left(
+                                 owner, step, job->service, now) > 0;
 
     for (guint i = 0; i < open->len; i++) {
         struct owner_target *target = open->pdata[i];
 
-        if ((spreads || target->lower_runs > 0) &&
-            !owner_is_held(target, step, now)) {
+        if ((spreads || target->lower_priority_runs > 0) &&
+            !owner_target_is_reserved(target, step, now))
+        {
             add_candidate(out, step, target);
         }
     }
@@ -280,10 +293,10 @@
 
     g_hash_table_iter_init(&iterator, owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        struct cw_resources room = owner_room(value);
+        struct cw_resources room = owner_free_resources(value);
 
-        if (owner_fits(&room, least) > 0 && owner_target_reachable(value, now))
-        {
+        if (owner_fit_count(&room, least) > 0 &&
+            owner_target_reachable(value, now)) {
             g_ptr_array_add(targets, value);
         }
     }
@@ -298,12 +311,13 @@
     if (!owner_target_usable(target, now)) {
         return 2;
     }
-    return owner_is_held(target, step, now) ? 1 : 0;
+    return owner_target_is_reserved(target, step, now) ? 1 : 0;
 }
 
 GArray *
-owner_candidates_kept(const GPtrArray *targets, const struct owner_step *step,
-                      struct timespec now)
+owner_candidates_with_reserved(const GPtrArray *targets,
+                               const struct owner_step *step,
+                               struct timespec now)
 {
     enum { DOUBTS = 3 };
     GArray *out = g_array_new(FALSE, FALSE, sizeof(struct owner_candidate));
--- a/src/owner/owner_commit.c
+++ b/src/owner/owner_commit.c
@@ -55,10 +55,10 @@
     mark_runs(owner, job);
     job->dirty = false;
     job->final = cw_work_is_over(job->phase);
-    owner_job_tell(owner, job);
+    owner_job_publish(owner, job);
     value = owner_job_encode(job);
     length = value->len;
-    owner_batch_note(batch, job->spec->id);
+    owner_batch_add_job(batch, job->spec->id);
     owner_batch_put(batch, cw_work_key(CW_WORK_KEY_RECORD, job->spec->id),
                     value);
     return length;
@@ -91,8 +91,8 @@
     for (guint i = 0; i < owner->ends_sent->len; i++) {
         struct owner_target *target = owner->ends_sent->pdata[i];
 
-        target->life.ends_durable = target->life.ends_in_batch;
-        target->hold_due = owner_now(owner);
+        target->incarnation.ends_durable = target->incarnation.ends_in_batch;
+        target->poll_due = owner_now(owner);
         owner_target_wake(target);
     }
     g_ptr_array_set_size(owner->ends_sent, 0);
@@ -106,7 +106,7 @@
         struct owner_target *target = owner->ends_new->pdata[i];
 
         target->ends_new = false;
-        target->life.ends_in_batch = target->life.ends_applied;
+        target->incarnation.ends_in_batch = target->incarnation.ends_applied;
         g_ptr_array_add(owner->ends_sent, target);
     }
     g_ptr_array_set_size(owner->ends_new, 0);
@@ -120,7 +120,7 @@
 
     cw_count_latency(
         owner->options.counters, CW_LATENCY_COMMIT,
-        cw_time_diff_ms(owner_batch_sent(batch), owner_now(owner)));
+        cw_time_diff_ms(owner_batch_sent_at(batch), owner_now(owner)));
     confirm_ends(owner);
     for (guint i = 0; i < ids->len; i++) {
         struct owner_job *job =
@@ -180,7 +180,7 @@
         collect_ends(owner);
         confirm_ends(owner);
         if (owner->past_states->len == 0 ||
-            cw_time_diff_ms(owner_log_sent(log), now) < DROP_ALONE_MS)
+            cw_time_diff_ms(owner_log_last_sent_at(log), now) < DROP_ALONE_MS)
         {
             return cw_time_from_ms(INT32_MAX);
         }
@@ -201,14 +201,14 @@
 /* ---- what all VMs read ---- */
 
 void
-owner_job_tell(struct cw_owner *owner, struct owner_job *job)
+owner_job_publish(struct cw_owner *owner, struct owner_job *job)
 {
-    bool changed =
-        job->phase != job->told_phase || job->started != job->told_started;
+    bool changed = job->phase != job->published_phase ||
+                   job->started != job->published_started;
 
-    if (changed && !job->untold) {
-        job->untold = true;
-        g_ptr_array_add(owner->untold, job);
+    if (changed && !job->unpublished) {
+        job->unpublished = true;
+        g_ptr_array_add(owner->unpublished, job);
     }
 }
 
@@ -223,7 +223,7 @@
             g_hash_table_lookup(owner->jobs, ids->pdata[i]);
 
         if (job != NULL) {
-            job->final_durable = cw_work_is_over(job->told_phase);
+            job->final_durable = cw_work_is_over(job->published_phase);
         }
     }
 }
@@ -236,10 +236,10 @@
     GByteArray *value = owner_outcome_encode(job);
     size_t length = value->len;
 
-    job->untold = false;
-    job->told_phase = job->phase;
-    job->told_started = job->started;
-    owner_batch_note(batch, job->spec->id);
+    job->unpublished = false;
+    job->published_phase = job->phase;
+    job->published_started = job->started;
+    owner_batch_add_job(batch, job->spec->id);
     owner_batch_put(batch, cw_work_key(CW_WORK_KEY_RECORD, job->spec->id),
                     value);
     return length;
@@ -252,11 +252,11 @@
     size_t bytes = 0;
     guint taken = 0;
 
-    while (taken < owner->untold->len && bytes < BATCH_BYTES_MAX) {
-        bytes += add_outcome(batch, owner->untold->pdata[taken]);
+    while (taken < owner->unpublished->len && bytes < BATCH_BYTES_MAX) {
+        bytes += add_outcome(batch, owner->unpublished->pdata[taken]);
         taken++;
     }
-    g_ptr_array_remove_range(owner->untold, 0, taken);
+    g_ptr_array_remove_range(owner->unpublished, 0, taken);
     owner_log_send(owner->jobs_log, batch);
 }
 
@@ -266,7 +266,7 @@
     struct cw_beat_record beat = {.vm = owner->vm, .epoch = owner->epoch};
     struct owner_batch *batch = owner_batch_new(NULL, NULL);
 
-    owner_batch_put(batch, cw_work_key(CW_WORK_KEY_BEAT, "owner"),
+    owner_batch_put(batch, cw_work_key(CW_WORK_KEY_HEARTBEAT, "owner"),
                     cw_xdr_encode((xdrproc_t)xdr_cw_beat_record, &beat));
     owner_log_send(owner->jobs_log, batch);
 }
@@ -276,7 +276,7 @@
 append_proof_due(const struct cw_owner *owner, struct timespec now)
 {
     return (owner->yielding || !owner_may_order(owner, now)) &&
-           cw_time_diff_ms(owner_log_sent(owner->jobs_log), now) >=
+           cw_time_diff_ms(owner_log_last_sent_at(owner->jobs_log), now) >=
                YIELD_PROOF_MS;
 }
 
@@ -284,31 +284,33 @@
 write_outcomes(struct cw_owner *owner, struct timespec now)
 {
     struct owner_log *log = owner->jobs_log;
-    struct timespec due = cw_time_add_ms(owner_log_sent(log), FLUSH_EVERY_MS);
+    struct timespec due =
+        cw_time_add_ms(owner_log_last_sent_at(log), FLUSH_EVERY_MS);
 
     if (!owner_log_is_idle(log)) {
         return owner_log_tick(log, now);
     }
-    if (owner_epochs_settle(owner, now)) {
+    if (owner_epochs_write_settled(owner, now)) {
         return cw_time_from_ms(INT32_MAX);
     }
     /* With many silent workers some note is always due: outcomes, which
      * callers wait for, take turns with them. */
-    if ((owner->untold->len == 0 || !owner->notes_went) &&
-        owner_notes_send(owner, now))
+    if ((owner->unpublished->len == 0 || !owner->lease_notes_sent) &&
+        owner_lease_notes_send(owner, now))
     {
-        owner->notes_went = true;
+        owner->lease_notes_sent = true;
         return cw_time_from_ms(INT32_MAX);
     }
-    if (owner->untold->len > 0 && cw_time_before(now, due)) {
+    if (owner->unpublished->len > 0 && cw_time_before(now, due)) {
         return due;
     }
-    if (owner->untold->len > 0) {
-        owner->notes_went = false;
+    if (owner->unpublished->len > 0) {
+        owner->lease_notes_sent = false;
         send_outcomes(owner);
     }
-    else if (owner_candidacy_beat_due(owner, now) ||
-             append_proof_due(owner, now)) {
+    else if (owner_candidacy_heartbeat_due(owner, now) ||
+             append_proof_due(owner, now))
+    {
         send_beat(owner);
     }
     return cw_time_from_ms(INT32_MAX);
@@ -340,7 +342,7 @@
 }
 
 void
-owner_sweep(struct cw_owner *owner)
+owner_drop_old_records(struct cw_owner *owner)
 {
     int64_t before_ms = cw_clock_wall_ms(owner->options.clock) -
                         (int64_t)owner->options.retain_ms;
--- a/src/owner/owner_cordons.c
+++ b/src/owner/owner_cordons.c
@@ -18,14 +18,14 @@
 };
 
 bool
-owner_target_takes_work(const struct owner_target *target)
+owner_target_accepts_work(const struct owner_target *target)
 {
     const struct cw_owner *owner = target->owner;
 
     return (owner->routing == NULL ||
-            cw_routing_is_open(owner->routing, target->dc)) &&
+            cw_routing_dc_is_open(owner->routing, target->dc)) &&
            (owner->options.cordons == NULL ||
-            cw_cordons_permit(owner->options.cordons, target->dc));
+            cw_cordons_permits_dc(owner->options.cordons, target->dc));
 }
 
 bool
@@ -42,14 +42,14 @@
     if (staleness_ms <= (int64_t)options->cordon_ms - ON_THE_WAY_MS) {
         return true;
     }
-    if (!cw_time_before(now, owner->orders_read_due)) {
-        owner->orders_read_due = cw_time_add_ms(now, READ_AGAIN_MS);
+    if (!cw_time_before(now, owner->cordons_read_due)) {
+        owner->cordons_read_due = cw_time_add_ms(now, READ_AGAIN_MS);
         cw_log_info("starts_wait",
                     "reason=orders_not_read staleness_ms=%" PRId64,
                     staleness_ms);
-        cw_cordons_hurry(options->cordons);
+        cw_cordons_read_now(options->cordons);
     }
-    cw_time_earlier(next, owner->orders_read_due);
+    cw_time_earlier(next, owner->cordons_read_due);
     return false;
 }
 
@@ -78,12 +78,12 @@
     GHashTableIter iterator;
     gpointer value;
 
-    owner->room_version++;
-    owner->place_wanted = true;
+    owner->capacity_version++;
+    owner->placement_wanted = true;
     g_hash_table_iter_init(&iterator, owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        if (!owner_target_takes_work(value)) {
-            owner_places_give_up(owner, value, owner_cordon_log);
+        if (!owner_target_accepts_work(value)) {
+            owner_unsent_runs_give_up(owner, value, owner_cordon_log);
         }
     }
 }
--- a/src/owner/owner_crashes.c
+++ b/src/owner/owner_crashes.c
@@ -59,7 +59,7 @@
     char *job;
     struct cw_task_name task; /* its job is the text above */
     unsigned run;
-    int64_t born_ms; /* of the worker's life; 0 unknown */
+    int64_t boot_ms; /* of the worker's life; 0 unknown */
     unsigned counts; /* in all, once a crash is known */
     unsigned ahead;  /* of it, counted already */
     bool fresh;
@@ -73,12 +73,13 @@
 }
 
 GArray *
-owner_charges_new(void)
+owner_pending_suspicions_new(void)
 {
-    GArray *charges = g_array_new(FALSE, FALSE, sizeof(struct charge));
+    GArray *pending_suspicions =
+        g_array_new(FALSE, FALSE, sizeof(struct charge));
 
-    g_array_set_clear_func(charges, charge_clear);
-    return charges;
+    g_array_set_clear_func(pending_suspicions, charge_clear);
+    return pending_suspicions;
 }
 
 /* ---- what counts ---- */
@@ -95,10 +96,10 @@
 static bool
 was_there(const struct owner_run *run)
 {
-    if (run->finished || run->stop_confirmed) {
+    if (run->gang_done || run->stop_confirmed) {
         return false;
     }
-    return run->phase == RUN_RUNNING || run->phase == RUN_UNSURE ||
+    return run->phase == RUN_RUNNING || run->phase == RUN_INHERITED ||
            (run->phase == RUN_STARTING && run->unanswered > 0);
 }
 
@@ -106,7 +107,7 @@
 static bool
 is_fresh(const struct owner_run *run)
 {
-    return was_there(run) && run->phase != RUN_UNSURE && run->percent == 0;
+    return was_there(run) && run->phase != RUN_INHERITED && run->percent == 0;
 }
 
 /* True if the run may have crashed the worker by its start.  The answer of one
@@ -146,10 +147,11 @@
     g_hash_table_iter_init(&iterator, target->owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct owner_target *other = value;
-        int64_t apart_ms =
-            cw_time_diff_ms(target->silent_since, other->silent_since);
+        int64_t apart_ms = cw_time_diff_ms(target->unresponsive_since,
+                                           other->unresponsive_since);
 
-        count += other->silent_since.tv_sec > 0 && ABS(apart_ms) < TOGETHER_MS;
+        count += other->unresponsive_since.tv_sec > 0 &&
+                 ABS(apart_ms) < TOGETHER_MS;
     }
     return count >= TOGETHER_FROM;
 }
@@ -178,8 +180,8 @@
     const struct owner_target *target = run->target;
     struct timespec from = now;
 
-    if (cw_time_before(run->created_at, target->silent_since)) {
-        from = target->silent_since;
+    if (cw_time_before(run->created_at, target->unresponsive_since)) {
+        from = target->unresponsive_since;
     }
     return cw_clock_wall_ms(target->owner->options.clock) -
            cw_time_diff_ms(from, now);
@@ -191,7 +193,7 @@
     struct owner_target *target = run->target;
     struct charge charge = {.task = owner_task_name(run->task),
                             .run = run->number,
-                            .born_ms = run->born_ms,
+                            .boot_ms = run->boot_ms,
                             .counts = counts_of(run, now),
                             .fresh = is_fresh(run),
                             .silent_ms = silent_from_ms(run, now)};
@@ -200,7 +202,7 @@
     if (charge.counts > 0 && !target->draining) {
         charge.job = g_strdup(charge.task.job);
         charge.task.job = charge.job;
-        g_array_append_val(target->charges, charge);
+        g_array_append_val(target->pending_suspicions, charge);
     }
 }
 
@@ -240,22 +242,22 @@
               unsigned counts)
 {
     owner_task_set_suspicion(task, task->suspicion + counts);
-    owner_job_touch(owner, owner_task_job(task));
+    owner_job_mark_dirty(owner, owner_task_job(task));
     cw_log_info("task_suspect",
                 "id=%s task=%u.%u.%u run=%u worker=%s crashed=%d counts=%u "
                 "suspicion=%u limit=%d",
                 charge->job, charge->task.occurrence, charge->task.step,
-                charge->task.index, charge->run, target->id, target->gone,
-                counts, task->suspicion, GIVEN_UP_AT);
+                charge->task.index, charge->run, target->id,
+                target->superseded, counts, task->suspicion, GIVEN_UP_AT);
 }
 
 /* How much the charge counts if the worker's next life began then (0:
  * unknown). One that was silent for long before may have been cut off: the run
  * may have ended there, unheard, and the worker have crashed later. */
 static unsigned
-counts_if_born(const struct charge *charge, int64_t born_ms)
+counts_if_born(const struct charge *charge, int64_t boot_ms)
 {
-    return born_ms - charge->silent_ms > SURE_WITHIN_MS
+    return boot_ms - charge->silent_ms > SURE_WITHIN_MS
                ? MIN(charge->counts, COUNTS_BESIDE)
                : charge->counts;
 }
@@ -271,7 +273,7 @@
     if (task == NULL) {
         return;
     }
-    task->held_until = cw_time_from_ms(0);
+    task->rack_reserved_until = cw_time_from_ms(0);
     add_suspicion(owner, task, target, charge, charge->counts - charge->ahead);
     if (task->suspicion >= GIVEN_UP_AT) {
         owner_job_end(owner, owner_task_job(task), CW_WORK_FAILED,
@@ -280,24 +282,25 @@
 }
 
 void
-owner_crashes_proved(struct cw_owner *owner, struct owner_target *target,
-                     int64_t born_ms)
+owner_crashes_confirmed(struct cw_owner *owner, struct owner_target *target,
+                        int64_t boot_ms)
 {
-    GArray *charges = target->charges;
+    GArray *pending_suspicions = target->pending_suspicions;
 
-    if (charges->len == 0) {
+    if (pending_suspicions->len == 0) {
         return;
     }
-    target->charges = owner_charges_new();
+    target->pending_suspicions = owner_pending_suspicions_new();
     cw_count_add(owner->options.counters, CW_COUNT_CRASHES, 1);
-    for (guint i = 0; i < charges->len; i++) {
-        struct charge *charge = &g_array_index(charges, struct charge, i);
+    for (guint i = 0; i < pending_suspicions->len; i++) {
+        struct charge *charge =
+            &g_array_index(pending_suspicions, struct charge, i);
 
-        charge->counts = counts_if_born(charge, born_ms);
+        charge->counts = counts_if_born(charge, boot_ms);
         apply_proved(owner, target, charge);
     }
-    g_array_unref(charges);
-    owner->place_wanted = true;
+    g_array_unref(pending_suspicions);
+    owner->placement_wanted = true;
 }
 
 /* Whether the worker has crashed is open. */
@@ -305,9 +308,9 @@
 apply_ahead(struct cw_owner *owner, const struct owner_target *target,
             struct timespec now)
 {
-    for (guint i = 0; i < target->charges->len; i++) {
+    for (guint i = 0; i < target->pending_suspicions->len; i++) {
         struct charge *charge =
-            &g_array_index(target->charges, struct charge, i);
+            &g_array_index(target->pending_suspicions, struct charge, i);
         struct owner_task *task = charged_task(owner, charge);
 
         if (task == NULL || !charge->fresh || charge->ahead > 0) {
@@ -315,7 +318,7 @@
         }
         charge->ahead = COUNTS_BESIDE;
         add_suspicion(owner, task, target, charge, charge->ahead);
-        task->held_until = cw_time_add_ms(now, SETTLE_MS);
+        task->rack_reserved_until = cw_time_add_ms(now, SETTLE_MS);
     }
 }
 
@@ -327,8 +330,8 @@
     if (task != NULL && charge->ahead > 0) {
         owner_task_set_suspicion(
             task, task->suspicion - MIN(task->suspicion, charge->ahead));
-        task->held_until = cw_time_from_ms(0);
-        owner_job_touch(owner, owner_task_job(task));
+        task->rack_reserved_until = cw_time_from_ms(0);
+        owner_job_mark_dirty(owner, owner_task_job(task));
     }
 }
 
@@ -341,11 +344,11 @@
 }
 
 void
-owner_crashes_settle(struct cw_owner *owner, struct owner_target *target,
-                     struct timespec now)
+owner_crashes_resolve(struct cw_owner *owner, struct owner_target *target,
+                      struct timespec now)
 {
-    if (target->gone || nothing_will_tell(target)) {
-        owner_crashes_proved(owner, target, 0);
+    if (target->superseded || nothing_will_tell(target)) {
+        owner_crashes_confirmed(owner, target, 0);
     }
     else {
         apply_ahead(owner, target, now);
@@ -356,28 +359,29 @@
 static void
 disproved(struct cw_owner *owner, struct owner_target *target)
 {
-    cw_log_info("crash_disproved", "worker=%s runs=%u", target->id,
-                target->charges->len);
-    for (guint i = 0; i < target->charges->len; i++) {
-        take_back(owner, &g_array_index(target->charges, struct charge, i));
+    cw_log_info("crash_refuted", "worker=%s runs=%u", target->id,
+                target->pending_suspicions->len);
+    for (guint i = 0; i < target->pending_suspicions->len; i++) {
+        take_back(owner, &g_array_index(target->pending_suspicions,
+                                        struct charge, i));
     }
-    g_array_set_size(target->charges, 0);
-    owner->place_wanted = true;
+    g_array_set_size(target->pending_suspicions, 0);
+    owner->placement_wanted = true;
 }
 
 void
-owner_crashes_heard(struct cw_owner *owner, struct owner_target *target,
-                    int64_t born_ms)
+owner_crashes_answered(struct cw_owner *owner, struct owner_target *target,
+                       int64_t boot_ms)
 {
     const struct charge *first;
 
-    if (target->charges->len == 0) {
+    if (target->pending_suspicions->len == 0) {
         return;
     }
     /* All are of the life that was lost last. */
-    first = &g_array_index(target->charges, struct charge, 0);
-    if (first->born_ms > 0 && born_ms > 0 && first->born_ms != born_ms) {
-        owner_crashes_proved(owner, target, born_ms);
+    first = &g_array_index(target->pending_suspicions, struct charge, 0);
+    if (first->boot_ms > 0 && boot_ms > 0 && first->boot_ms != boot_ms) {
+        owner_crashes_confirmed(owner, target, boot_ms);
     }
     else {
         disproved(owner, target);
@@ -392,11 +396,11 @@
 another_life(struct cw_owner *owner, struct owner_target *before,
              const struct owner_target *present)
 {
-    if (owner->state == OWNER_ACTIVE && !before->gone &&
+    if (owner->state == OWNER_ACTIVE && !before->superseded &&
         before->service == present->service &&
-        (before->runs->len > 0 || before->charges->len > 0))
+        (before->runs->len > 0 || before->pending_suspicions->len > 0))
     {
-        before->gone = true;
+        before->superseded = true;
         owner_target_lost(owner, before, "other_life");
     }
 }
@@ -405,19 +409,20 @@
 owner_crashes_listed(struct cw_owner *owner, struct owner_target *target)
 {
     struct owner_target *before =
-        g_hash_table_lookup(owner->lives, target->address);
+        g_hash_table_lookup(owner->targets_by_address, target->address);
 
     if (before != NULL && before != target && !before->listed) {
         another_life(owner, before, target);
     }
-    g_hash_table_replace(owner->lives, g_strdup(target->address), target);
+    g_hash_table_replace(owner->targets_by_address, g_strdup(target->address),
+                         target);
 }
 
 void
 owner_crashes_unlisted(struct cw_owner *owner, struct owner_target *target)
 {
     const struct owner_target *other =
-        g_hash_table_lookup(owner->lives, target->address);
+        g_hash_table_lookup(owner->targets_by_address, target->address);
 
     if (other != NULL && other != target && other->listed) {
         another_life(owner, target, other);
@@ -427,12 +432,13 @@
 /* ---- suspects ---- */
 
 bool
-owner_step_is_held_back(const struct owner_step *step, struct timespec now)
+owner_step_is_delayed(const struct owner_step *step, struct timespec now)
 {
     for (unsigned i = 0; step->suspects > 0 && i < step->count; i++) {
         const struct owner_task *task = &step->tasks[i];
 
-        if (is_suspect(task) && cw_time_before(now, task->held_until)) {
+        if (is_suspect(task) && cw_time_before(now, task->rack_reserved_until))
+        {
             return true;
         }
     }
@@ -440,46 +446,46 @@
 }
 
 unsigned
-owner_company(const struct owner_target *target)
+owner_target_neighbour_weight(const struct owner_target *target)
 {
-    unsigned company = 0;
+    unsigned neighbour_weight = 0;
 
     for (guint i = 0; i < target->runs->len; i++) {
         const struct owner_run *run = target->runs->pdata[i];
 
-        company += run->percent == 0 ? COUNTS_UNCLEAR : 1;
+        neighbour_weight += run->percent == 0 ? COUNTS_UNCLEAR : 1;
     }
-    return company;
+    return neighbour_weight;
 }
 
 void
-owner_trial_begin(struct owner_run *run)
+owner_probation_begin(struct owner_run *run)
 {
-    run->on_trial = is_suspect(run->task);
-    run->target->trials += run->on_trial;
+    run->on_probation = is_suspect(run->task);
+    run->target->probation_runs += run->on_probation;
 }
 
 void
-owner_trial_end(struct owner_run *run)
+owner_probation_end(struct owner_run *run)
 {
-    if (run->on_trial) {
-        run->on_trial = false;
-        run->target->trials--;
+    if (run->on_probation) {
+        run->on_probation = false;
+        run->target->probation_runs--;
     }
 }
 
 void
-owner_crashes_note(struct owner_run *run, struct timespec now)
+owner_crashes_observe(struct owner_run *run, struct timespec now)
 {
     struct cw_owner *owner = run->target->owner;
 
-    if (run->on_trial && run->percent > 0) {
-        owner_trial_end(run);
-        owner->room_version++; /* others may be placed there again */
-        owner->place_wanted = true;
+    if (run->on_probation && run->percent > 0) {
+        owner_probation_end(run);
+        owner->capacity_version++; /* others may be placed there again */
+        owner->placement_wanted = true;
     }
     if (run->task->suspicion > 0 && is_steady(run, now)) {
         owner_task_set_suspicion(run->task, 0);
-        owner_job_touch(owner, owner_task_job(run->task));
+        owner_job_mark_dirty(owner, owner_task_job(run->task));
     }
 }
--- a/src/owner/owner_drain.c
+++ b/src/owner/owner_drain.c
@@ -15,10 +15,10 @@
 };
 
 void
-owner_drain_noticed(struct owner_target *target, int64_t remaining_ms,
-                    struct timespec now)
+owner_drain_announced(struct owner_target *target, int64_t remaining_ms,
+                      struct timespec now)
 {
-    target->leaves_at = cw_time_add_ms(now, remaining_ms - NOTICE_AGE_MS);
+    target->drain_until = cw_time_add_ms(now, remaining_ms - NOTICE_AGE_MS);
 }
 
 /* Milliseconds that the run's own work still takes; -1 unknown. */
@@ -58,11 +58,11 @@
 should_move(const struct owner_run *run, struct timespec now)
 {
     const struct cw_step_spec *spec = run->task->step->spec;
-    int64_t stays_ms = cw_time_diff_ms(now, run->target->leaves_at);
+    int64_t stays_ms = cw_time_diff_ms(now, run->target->drain_until);
     int64_t takes_ms = left_ms(run);
 
-    if (run->phase != RUN_RUNNING || run->stopping || run->finished ||
-        owner_once_protects(run))
+    if (run->phase != RUN_RUNNING || run->stopping || run->gang_done ||
+        owner_at_most_once_protects(run))
     {
         return false;
     }
@@ -82,8 +82,8 @@
                 "left_ms=%" PRId64 " stays_ms=%" PRId64,
                 name.job, name.occurrence, name.step, name.index, run->number,
                 run->target->id, run->percent, left_ms(run),
-                cw_time_diff_ms(now, run->target->leaves_at));
-    owner_run_displace(owner, run, OWNER_IDLE_EVACUATED);
+                cw_time_diff_ms(now, run->target->drain_until));
+    owner_run_evict_for(owner, run, OWNER_IDLE_EVACUATED);
 }
 
 void
--- a/src/owner/owner_due.c
+++ b/src/owner/owner_due.c
@@ -10,38 +10,39 @@
 };
 
 static struct owner_due_entry *
-at_place(const struct owner_due *due, guint place)
+at_place(const struct owner_due *due, guint position)
 {
-    return due->heap->pdata[place - 1];
+    return due->heap->pdata[position - 1];
 }
 
 static void
-put(struct owner_due *due, struct owner_due_entry *entry, guint place)
+put(struct owner_due *due, struct owner_due_entry *entry, guint position)
 {
-    due->heap->pdata[place - 1] = entry;
-    entry->place = place;
+    due->heap->pdata[position - 1] = entry;
+    entry->position = position;
 }
 
 static void
 move_up(struct owner_due *due, struct owner_due_entry *entry)
 {
-    guint place = entry->place;
+    guint position = entry->position;
 
-    while (place > 1 &&
-           cw_time_before(entry->at, at_place(due, place / 2)->at)) {
-        put(due, at_place(due, place / 2), place);
-        place /= 2;
+    while (position > 1 &&
+           cw_time_before(entry->at, at_place(due, position / 2)->at))
+    {
+        put(due, at_place(due, position / 2), position);
+        position /= 2;
     }
-    put(due, entry, place);
+    put(due, entry, position);
 }
 
 static void
 move_down(struct owner_due *due, struct owner_due_entry *entry)
 {
-    guint place = entry->place;
+    guint position = entry->position;
 
-    while (2 * place <= due->heap->len) {
-        guint child = 2 * place;
+    while (2 * position <= due->heap->len) {
+        guint child = 2 * position;
 
         if (child < due->heap->len &&
             cw_time_before(at_place(due, child + 1)->at,
@@ -52,10 +53,10 @@
         if (!cw_time_before(at_place(due, child)->at, entry->at)) {
             break;
         }
-        put(due, at_place(due, child), place);
-        place = child;
+        put(due, at_place(due, child), position);
+        position = child;
     }
-    put(due, entry, place);
+    put(due, entry, position);
 }
 
 struct owner_due *
@@ -78,18 +79,18 @@
 owner_due_clear(struct owner_due *due)
 {
     for (guint i = 0; i < due->heap->len; i++) {
-        ((struct owner_due_entry *)due->heap->pdata[i])->place = 0;
+        ((struct owner_due_entry *)due->heap->pdata[i])->position = 0;
     }
     g_ptr_array_set_size(due->heap, 0);
 }
 
 void
-owner_due_by(struct owner_due *due, struct owner_due_entry *entry,
-             struct timespec at)
+owner_due_schedule(struct owner_due *due, struct owner_due_entry *entry,
+                   struct timespec at)
 {
-    if (entry->place == 0) {
+    if (entry->position == 0) {
         g_ptr_array_add(due->heap, entry);
-        entry->place = due->heap->len;
+        entry->position = due->heap->len;
         entry->at = at;
     }
     else if (cw_time_before(at, entry->at)) {
@@ -102,7 +103,7 @@
 }
 
 struct owner_due_entry *
-owner_due_take(struct owner_due *due, struct timespec now)
+owner_due_pop(struct owner_due *due, struct timespec now)
 {
     struct owner_due_entry *first;
     struct owner_due_entry *last;
@@ -114,10 +115,10 @@
     last = at_place(due, due->heap->len);
     g_ptr_array_set_size(due->heap, (gint)due->heap->len - 1);
     if (last != first) {
-        last->place = 1;
+        last->position = 1;
         move_down(due, last);
     }
-    first->place = 0;
+    first->position = 0;
     return first;
 }
 
--- a/src/owner/owner_lasting.c
+++ b/src/owner/owner_endless.c
@@ -11,7 +11,7 @@
 }
 
 bool
-owner_lasting_protects(const struct owner_run *run, GHashTable *leaving)
+owner_endless_protects(const struct owner_run *run, GHashTable *leaving)
 {
     const struct owner_step *step = run->task->step;
     unsigned away = 0;
--- a/src/owner/owner_epochs.c
+++ b/src/owner/owner_epochs.c
@@ -55,7 +55,7 @@
 static int64_t
 lasts_ms(int64_t lease_ms)
 {
-    return owner_with_drift_ms(lease_ms) + OWNER_ORDER_ARRIVES_MS;
+    return owner_with_drift_ms(lease_ms) + OWNER_ORDER_DELAY_MAX_MS;
 }
 
 /* True if a worker of the service may start again under its id: an order that
@@ -70,7 +70,7 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct owner_target *target = value;
 
-        if (target->life.born_ms > 0 || target->reported_born_ms > 0) {
+        if (target->incarnation.boot_ms > 0 || target->reported_boot_ms > 0) {
             return true;
         }
     }
@@ -82,7 +82,7 @@
 longest_given_ms(const struct cw_owner *owner)
 {
     return workers_tell_lives(owner) ? owner->options.lease_ms
-                                     : owner_lease_longest_ms(owner);
+                                     : owner_lease_max_granted_ms(owner);
 }
 
 struct owner_epochs *
@@ -110,10 +110,11 @@
 }
 
 bool
-owner_may_extend(const struct cw_owner *owner, struct timespec now)
+owner_may_extend_leases(const struct cw_owner *owner, struct timespec now)
 {
     return owner->state == OWNER_ACTIVE &&
-           cw_time_diff_ms(owner->proof_at, now) < EXTEND_PROOF_MS;
+           cw_time_diff_ms(owner->ownership_confirmed_at, now) <
+               EXTEND_PROOF_MS;
 }
 
 /* ---- bounds ---- */
@@ -150,11 +151,11 @@
 end_of_other(const struct cw_owner *owner,
              const struct cw_replica_epoch *epoch, const char *worker)
 {
-    if (!cw_replica_epoch_is_over(epoch)) {
+    if (!cw_replica_epoch_has_ended(epoch)) {
         return end_of_open(owner, epoch->lease_ms);
     }
-    return owner_lease_end_read(epoch->end_read_at,
-                                cw_replica_epoch_left_ms(epoch, worker));
+    return owner_lease_end_from_record(
+        epoch->end_read_at, cw_replica_epoch_lease_left_ms(epoch, worker));
 }
 
 /* The same for this VM, before it took over. */
@@ -217,8 +218,8 @@
         if (target->runs->len > 0) {
             any = true;
             target->lease_end = end_of_earlier(owner, target->id);
-            target->lease_source = OWNER_LEASE_EARLIER;
-            target->hold_due = now;
+            target->lease_source = OWNER_LEASE_EARLIER_OWNER;
+            target->poll_due = now;
             owner_target_wake(target);
         }
     }
@@ -232,7 +233,7 @@
 }
 
 void
-owner_epochs_other_ended(struct cw_owner *owner, const char *vm)
+owner_epochs_on_other_ended(struct cw_owner *owner, const char *vm)
 {
     struct owner_epochs *epochs = owner->epochs;
     GHashTableIter iterator;
@@ -246,9 +247,9 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct owner_target *target = value;
 
-        if (target->runs->len > 0 && !owner_lease_given(target)) {
+        if (target->runs->len > 0 && !owner_lease_possibly_granted(target)) {
             owner_lease_lower(target, end_of_earlier(owner, target->id),
-                              OWNER_LEASE_EARLIER);
+                              OWNER_LEASE_EARLIER_OWNER);
             owner_target_wake(target);
         }
     }
@@ -285,7 +286,7 @@
 }
 
 void
-owner_epochs_record(struct cw_owner *owner)
+owner_epochs_write_begin(struct cw_owner *owner)
 {
     struct owner_epochs *epochs = owner->epochs;
 
@@ -297,7 +298,7 @@
 }
 
 bool
-owner_epochs_recorded(const struct cw_owner *owner)
+owner_epochs_begin_is_stored(const struct cw_owner *owner)
 {
     return owner->epochs->recorded;
 }
@@ -324,7 +325,7 @@
 }
 
 bool
-owner_epochs_settle(struct cw_owner *owner, struct timespec now)
+owner_epochs_write_settled(struct cw_owner *owner, struct timespec now)
 {
     struct owner_epochs *epochs = owner->epochs;
     struct owner_batch *batch;
@@ -348,15 +349,15 @@
 static struct timespec
 end_of_current(const struct owner_target *target)
 {
-    return target->silent > 0
+    return target->unanswered_polls > 0
                ? target->lease_end
-               : cw_time_add_ms(target->lease_end, OWNER_ORDER_ARRIVES_MS);
+               : cw_time_add_ms(target->lease_end, OWNER_ORDER_DELAY_MAX_MS);
 }
 
 /* Workers whose leases end before those of others.  Where this VM knows of no
  * run any more, the next owner may: an end was listed and is not stored. */
 static void
-collect_sooner(struct cw_owner *owner, bool silent)
+collect_sooner(struct cw_owner *owner, bool unanswered_polls)
 {
     struct owner_epochs *epochs = owner->epochs;
     GHashTableIter iterator;
@@ -369,7 +370,8 @@
         const struct owner_target *target = value;
         struct timespec end = end_of_current(target);
 
-        if ((target->silent > 0) == silent && target->lease_end.tv_sec > 0 &&
+        if ((target->unanswered_polls > 0) == unanswered_polls &&
+            target->lease_end.tv_sec > 0 &&
             cw_time_before(end, epochs->given_until))
         {
             g_hash_table_insert(epochs->sooner, g_strdup(target->id),
@@ -379,7 +381,7 @@
 }
 
 void
-owner_epochs_collect(struct cw_owner *owner)
+owner_epochs_on_ownership_lost(struct cw_owner *owner)
 {
     struct owner_epochs *epochs = owner->epochs;
 
@@ -406,7 +408,7 @@
     const struct cw_replica_epoch *own = g_hash_table_lookup(
         cw_replica_epochs(owner->options.replica), owner->vm);
 
-    if (own != NULL && !epochs->sent && !cw_replica_epoch_is_over(own) &&
+    if (own != NULL && !epochs->sent && !cw_replica_epoch_has_ended(own) &&
         own->epoch > epochs->given_epoch)
     {
         epochs->given_epoch = own->epoch;
@@ -450,7 +452,7 @@
 }
 
 static void
-on_reported(void *context, const struct cw_store_appended *result)
+on_reported(void *context, const struct cw_store_append_result *result)
 {
     struct call *call = context;
     struct owner_epochs *epochs = call->epochs;
@@ -476,7 +478,7 @@
     char *key = cw_work_key(CW_WORK_KEY_EPOCH_END, owner->vm);
     struct cw_store_record record = {
         .key = key, .value = bytes->data, .length = bytes->len};
-    struct cw_store_append append = {.topic = CW_WORK_TOPIC,
+    struct cw_store_append append = {.topic = CW_JOBS_TOPIC,
                                      .partition = owner->options.partition,
                                      .records = &record,
                                      .count = 1,
--- a/src/owner/owner_spread.c
+++ b/src/owner/owner_gang_dcs.c
@@ -43,7 +43,7 @@
 
         offer->fits += c->fits;
         if (offer->left > 0) {
-            offer->idle += owner_candidate_idle(c);
+            offer->idle += owner_candidate_is_idle(c);
             offer->left -= MIN(offer->left, c->fits);
         }
     }
@@ -94,7 +94,7 @@
 }
 
 GArray *
-owner_choose_spread(const GArray *candidates, unsigned tasks)
+owner_choose_by_dc(const GArray *candidates, unsigned tasks)
 {
     GArray *choices = g_array_new(FALSE, FALSE, sizeof(struct owner_choice));
     GArray *offers = offers_of(candidates, tasks);
--- a/src/owner/owner_group.c
+++ b/src/owner/owner_group.c
@@ -9,7 +9,7 @@
 };
 
 static bool
-has_partition(const struct cw_store_joined *result, unsigned partition)
+has_partition(const struct cw_store_join_result *result, unsigned partition)
 {
     for (size_t i = 0; i < result->count; i++) {
         if (result->partitions[i] == partition) {
@@ -25,7 +25,7 @@
 yield(struct cw_owner *owner, const char *reason)
 {
     if (owner->state != OWNER_ACTIVE) {
-        owner_depose(owner, reason);
+        owner_drop_ownership(owner, reason);
         return;
     }
     owner->yielding = true;
@@ -40,12 +40,12 @@
 proves(const struct cw_owner *owner, struct timespec now)
 {
     return owner->state != OWNER_ACTIVE ||
-           cw_time_diff_ms(owner->proof_at, now) <
+           cw_time_diff_ms(owner->ownership_confirmed_at, now) <
                (int64_t)owner->options.member_ttl_ms;
 }
 
 static void
-take_join(struct cw_owner *owner, const struct cw_store_joined *result,
+take_join(struct cw_owner *owner, const struct cw_store_join_result *result,
           struct timespec now)
 {
     bool has = has_partition(result, owner->options.partition);
@@ -53,15 +53,15 @@
     owner->generation = result->generation;
     owner->joined = true;
     if (has && proves(owner, now)) {
-        owner_prove(owner, owner->join_sent);
+        owner_confirm_ownership(owner, owner->join_sent);
     }
-    if (has && !owner->holds_partition && !owner->leaving) {
-        owner->holds_partition = true;
+    if (has && !owner->partition_assigned && !owner->leaving) {
+        owner->partition_assigned = true;
         cw_log_info("shard_gained", "shard=%u generation=%" PRIu64,
                     owner->options.partition, owner->generation);
-        owner_begin(owner, now);
+        owner_take_over(owner, now);
     }
-    else if (!has && owner->holds_partition && !owner->yielding) {
+    else if (!has && owner->partition_assigned && !owner->yielding) {
         yield(owner, "reassigned");
     }
     else if (has) {
@@ -70,7 +70,7 @@
 }
 
 static void
-on_joined(void *context, const struct cw_store_joined *result)
+on_joined(void *context, const struct cw_store_join_result *result)
 {
     struct cw_owner *owner = context;
     struct timespec now = owner_now(owner);
@@ -89,7 +89,7 @@
     struct cw_store_join call = {
         .group = CW_OWNER_GROUP,
         .member = owner->member,
-        .topic = CW_WORK_TOPIC,
+        .topic = CW_JOBS_TOPIC,
         .ttl_ms = owner->options.member_ttl_ms,
         .generation = owner->generation,
         .timeout_ms = JOIN_TIMEOUT_MS,
@@ -127,7 +127,8 @@
     };
 
     cw_log_info("group_leaves", "reason=%s capacity=%u bar=%u", reason,
-                owner->options.capacity_milli, owner->candidacy.bar_milli);
+                owner->options.capacity_milli,
+                owner->candidacy.weak_below_milli);
     owner->joined = false;
     if (owner->state != OWNER_IDLE) {
         yield(owner, reason);
@@ -150,14 +151,15 @@
 {
     struct owner_candidacy *candidacy = &owner->candidacy;
 
-    if (wants == candidacy->stands) {
+    if (wants == candidacy->is_candidate) {
         return;
     }
-    candidacy->stands = wants;
+    candidacy->is_candidate = wants;
     if (wants) {
         candidacy->outranked = false;
         cw_log_info("group_joins", "capacity=%u bar=%u",
-                    owner->options.capacity_milli, candidacy->bar_milli);
+                    owner->options.capacity_milli,
+                    candidacy->weak_below_milli);
     }
 }
 
@@ -169,8 +171,8 @@
     if (owner->join_in_flight || owner->leaving) {
         return next;
     }
-    set_candidate(owner, owner_candidacy_wants(owner, now));
-    if (owner->candidacy.stands) {
+    set_candidate(owner, owner_candidacy_wants_membership(owner, now));
+    if (owner->candidacy.is_candidate) {
         send_join(owner, now);
         if (!owner->join_in_flight) {
             cw_time_earlier(&next, owner->join_due);
--- a/src/owner/owner_headroom.c
+++ b/src/owner/owner_headroom.c
@@ -22,12 +22,12 @@
 struct census {
     struct owner_headroom *room;
     unsigned workers;
-    unsigned hosts; /* of lower work */
+    unsigned lower_priority_workers; /* of lower work */
     int64_t accelerators;
-    int64_t urgent;   /* accelerators that urgent runs hold */
-    int64_t used;     /* accelerators that any runs hold */
-    int64_t leaving;  /* of them, by runs that are told to leave */
-    int64_t released; /* accelerators of runs in room that is kept */
+    int64_t urgent;            /* accelerators that urgent runs hold */
+    int64_t used;              /* accelerators that any runs hold */
+    int64_t leaving;           /* of them, by runs that are told to leave */
+    int64_t headroom_borrowed; /* accelerators of runs in room that is kept */
 };
 
 static struct owner_headroom *
@@ -49,7 +49,7 @@
 {
     census->workers++;
     census->accelerators += target->capacity.accelerators;
-    census->hosts += target->lower_runs > 0;
+    census->lower_priority_workers += target->lower_priority_runs > 0;
     for (guint i = 0; i < target->runs->len; i++) {
         const struct owner_run *run = target->runs->pdata[i];
 
@@ -57,8 +57,8 @@
         if (run->stopping) {
             census->leaving += run->task->step->spec->accelerators;
         }
-        else if (run->released) {
-            census->released += run->task->step->spec->accelerators;
+        else if (run->headroom_borrowed) {
+            census->headroom_borrowed += run->task->step->spec->accelerators;
         }
         if (owner_task_job(run->task)->spec->priority == 0) {
             census->urgent += run->task->step->spec->accelerators;
@@ -97,24 +97,27 @@
     double kept;
 
     cw_headroom_observe(&room->forecast, (double)census->urgent, now);
-    room->hosts = census->hosts;
+    room->lower_priority_workers = census->lower_priority_workers;
     room->free = census->accelerators - census->used + census->leaving;
-    room->released = census->released;
+    room->headroom_borrowed = census->headroom_borrowed;
     room->mostly_idle =
         census->used * PERCENT < census->accelerators * IDLE_PERCENT;
     if (per_worker <= 0) {
-        room->most_hosts = census->workers; /* nothing to measure by */
+        room->max_lower_priority_workers =
+            census->workers; /* nothing to measure by */
         return;
     }
-    kept = cw_headroom_kept(&room->forecast) / per_worker;
-    room->most_hosts =
+    kept = cw_headroom_reserved(&room->forecast) / per_worker;
+    room->max_lower_priority_workers =
         kept < census->workers ? census->workers - (unsigned)kept : 0;
-    room->most_hosts =
-        MAX(room->most_hosts, open_workers(owner, census, per_worker));
+    room->max_lower_priority_workers =
+        MAX(room->max_lower_priority_workers,
+            open_workers(owner, census, per_worker));
 }
 
 void
-owner_headroom_arrived(struct cw_owner *owner, const struct owner_job *job)
+owner_headroom_job_accepted(struct cw_owner *owner,
+                            const struct owner_job *job)
 {
     struct owner_headroom *room = headroom_of(owner, job->spec->service);
 
@@ -132,8 +135,8 @@
 static bool
 counts(const struct owner_target *target)
 {
-    return target->listed && !target->draining && !target->gone &&
-           owner_target_takes_work(target);
+    return target->listed && !target->draining && !target->superseded &&
+           owner_target_accepts_work(target);
 }
 
 void
@@ -170,8 +173,8 @@
 owner_headroom_allows(struct cw_owner *owner, const struct owner_step *step,
                       const struct owner_target *target, struct timespec now)
 {
-    return target->lower_runs > 0 ||
-           owner_headroom_left(owner, step, target->service, now) > 0;
+    return target->lower_priority_runs > 0 ||
+           owner_headroom_workers_left(owner, step, target->service, now) > 0;
 }
 
 bool
@@ -186,47 +189,53 @@
 }
 
 unsigned
-owner_headroom_left(struct cw_owner *owner, const struct owner_step *step,
-                    const char *service, struct timespec now)
+owner_headroom_workers_left(struct cw_owner *owner,
+                            const struct owner_step *step, const char *service,
+                            struct timespec now)
 {
     const struct owner_headroom *room = headroom_of(owner, service);
 
     if (owner_headroom_exempts(owner, step, now)) {
         return G_MAXUINT;
     }
-    return room->hosts < room->most_hosts ? room->most_hosts - room->hosts : 0;
+    return room->lower_priority_workers < room->max_lower_priority_workers
+               ? room->max_lower_priority_workers -
+                     room->lower_priority_workers
+               : 0;
 }
 
 void
-owner_headroom_released(struct cw_owner *owner, const struct owner_run *run)
+owner_headroom_borrowed(struct cw_owner *owner, const struct owner_run *run)
 {
     struct owner_headroom *room = headroom_of(owner, run->target->service);
 
-    room->released += run->task->step->spec->accelerators;
+    room->headroom_borrowed += run->task->step->spec->accelerators;
     room->free -= run->task->step->spec->accelerators;
 }
 
 void
-owner_headroom_taken_back(struct cw_owner *owner, const struct owner_run *run)
+owner_headroom_returned(struct cw_owner *owner, const struct owner_run *run)
 {
     struct owner_headroom *room = headroom_of(owner, run->target->service);
 
-    room->released -= run->task->step->spec->accelerators;
+    room->headroom_borrowed -= run->task->step->spec->accelerators;
     room->free += run->task->step->spec->accelerators;
 }
 
 int64_t
-owner_headroom_lacks(struct cw_owner *owner, const char *service)
+owner_headroom_shortage(struct cw_owner *owner, const char *service)
 {
     const struct owner_headroom *room = headroom_of(owner, service);
 
-    return (int64_t)cw_headroom_arriving(&room->forecast) - room->free;
+    return (int64_t)cw_headroom_expected_arrivals(&room->forecast) -
+           room->free;
 }
 
 void
-owner_headroom_took(struct cw_owner *owner, const struct owner_target *target)
+owner_headroom_worker_taken(struct cw_owner *owner,
+                            const struct owner_target *target)
 {
-    if (target->lower_runs == 1) {
-        headroom_of(owner, target->service)->hosts++;
+    if (target->lower_priority_runs == 1) {
+        headroom_of(owner, target->service)->lower_priority_workers++;
     }
 }
