--- a/src/owner/owner_take_back.c
+++ b/src/owner/owner_headroom_reclaim.c
@@ -16,10 +16,10 @@
 static bool
 may_make_way(const struct owner_run *run, struct timespec now)
 {
-    return run->released && run->phase == RUN_RUNNING &&
+    return run->headroom_borrowed && run->phase == RUN_RUNNING &&
            !run->task->step->spec->endless &&
            cw_time_diff_ms(run->started_at, now) > AT_WORK_MS &&
-           owner_run_may_leave(run);
+           owner_run_may_be_stopped(run);
 }
 
 static GPtrArray *
@@ -48,8 +48,8 @@
 by_cost(gconstpointer a, gconstpointer b, gpointer data)
 {
     const struct timespec *now = data;
-    double x = owner_run_cost(*(struct owner_run *const *)a, *now);
-    double y = owner_run_cost(*(struct owner_run *const *)b, *now);
+    double x = owner_run_stop_cost(*(struct owner_run *const *)a, *now);
+    double y = owner_run_stop_cost(*(struct owner_run *const *)b, *now);
 
     return x < y ? -1 : x > y;
 }
@@ -60,19 +60,21 @@
 {
     struct owner_step *step = run->task->step;
 
-    cw_log_info("room_taken_back", "id=%s step=%u.%u tasks=%u lacks=%" PRId64,
+    cw_log_info("headroom_reclaimed",
+                "id=%s step=%u.%u tasks=%u lacks=%" PRId64,
                 step->occurrence->job->spec->id, step->occurrence->number,
                 step->number, step->spec->gang ? step->runs : 1, lacks);
     cw_count_add(owner->options.counters, CW_COUNT_PREEMPTIONS, 1);
     for (unsigned i = 0; step->spec->gang && i < step->count; i++) {
-        if (step->tasks[i].run != NULL && step->tasks[i].run->released) {
-            owner_headroom_taken_back(owner, step->tasks[i].run);
+        if (step->tasks[i].run != NULL &&
+            step->tasks[i].run->headroom_borrowed) {
+            owner_headroom_returned(owner, step->tasks[i].run);
         }
     }
     if (!step->spec->gang) {
-        owner_headroom_taken_back(owner, run);
+        owner_headroom_returned(owner, run);
     }
-    owner_run_displace(owner, run, OWNER_IDLE_RECLAIMED);
+    owner_run_evict_for(owner, run, OWNER_IDLE_PREEMPTED);
 }
 
 static void
@@ -80,14 +82,14 @@
 {
     GPtrArray *runs;
 
-    if (owner_headroom_lacks(owner, service) <= 0) {
+    if (owner_headroom_shortage(owner, service) <= 0) {
         return;
     }
     runs = runs_to_make_way(owner, service, now);
     g_ptr_array_sort_with_data(runs, by_cost, &now);
     for (guint i = 0; i < runs->len; i++) {
         struct owner_run *run = runs->pdata[i];
-        int64_t lacks = owner_headroom_lacks(owner, service);
+        int64_t lacks = owner_headroom_shortage(owner, service);
 
         if (lacks <= 0) {
             break;
@@ -100,7 +102,7 @@
 }
 
 void
-owner_take_back(struct cw_owner *owner, struct timespec now)
+owner_headroom_reclaim(struct cw_owner *owner, struct timespec now)
 {
     GHashTableIter iterator;
     gpointer service;
@@ -108,7 +110,7 @@
 
     g_hash_table_iter_init(&iterator, owner->headroom);
     while (g_hash_table_iter_next(&iterator, &service, &room)) {
-        if (((const struct owner_headroom *)room)->released > 0) {
+        if (((const struct owner_headroom *)room)->headroom_borrowed > 0) {
             take_back_of(owner, g_intern_string(service), now);
         }
     }
--- a/src/owner/owner_hints.c
+++ b/src/owner/owner_hints.c
@@ -26,7 +26,7 @@
 struct end {
     struct timespec at;
     char *worker;
-    int64_t born_ms; /* of the worker's life */
+    int64_t boot_ms; /* of the worker's life */
     char *job;
     struct cw_ended what; /* its texts are the ones above, and `saved` */
     char *saved;
@@ -93,14 +93,14 @@
 }
 
 void
-owner_hints_note(struct owner_target *target, const struct cw_ended *ended)
+owner_hints_add_end(struct owner_target *target, const struct cw_ended *ended)
 {
     struct cw_owner *owner = target->owner;
     struct end *end = g_new0(struct end, 1);
 
     end->at = owner_now(owner);
     end->worker = g_strdup(target->id);
-    end->born_ms = target->life.born_ms;
+    end->boot_ms = target->incarnation.boot_ms;
     end->job = g_strdup(ended->task.job);
     end->saved = g_strdup(ended->saved != NULL ? ended->saved : "");
     end->what = *ended;
@@ -119,15 +119,15 @@
     const struct owner_target *target =
         g_hash_table_lookup(owner->targets, end->worker);
 
-    if (target == NULL || target->life.born_ms != end->born_ms) {
+    if (target == NULL || target->incarnation.boot_ms != end->boot_ms) {
         return false;
     }
-    return end->what.number <= target->life.ends_durable ||
-           (target->listed && !target->draining && !target->gone);
+    return end->what.number <= target->incarnation.ends_durable ||
+           (target->listed && !target->draining && !target->superseded);
 }
 
 void
-owner_hints_collect(struct cw_owner *owner)
+owner_hints_queue_unstored(struct cw_owner *owner)
 {
     struct owner_hints *hints = owner->hints;
     struct end *end;
@@ -196,7 +196,7 @@
 }
 
 static void
-on_appended(void *context, const struct cw_store_appended *result)
+on_appended(void *context, const struct cw_store_append_result *result)
 {
     struct call *call = context;
     struct owner_hints *hints = call->hints;
@@ -238,7 +238,7 @@
     GPtrArray *keys = g_ptr_array_new_with_free_func(g_free);
     GPtrArray *values =
         g_ptr_array_new_with_free_func((GDestroyNotify)g_byte_array_unref);
-    struct cw_store_append append = {.topic = CW_WORK_TOPIC,
+    struct cw_store_append append = {.topic = CW_JOBS_TOPIC,
                                      .partition = owner->options.partition,
                                      .timeout_ms = TIMEOUT_MS,
                                      .done = on_appended,
@@ -326,14 +326,14 @@
                  const struct cw_hint_record *hint)
 {
     for (u_int i = 0; i < hint->ends.ends_len; i++) {
-        if (hint->ends.ends_val[i].how <= CW_END_KIND_ALONE) {
+        if (hint->ends.ends_val[i].how <= CW_END_KIND_GANG_INCOMPLETE) {
             apply_end(owner, job, &hint->ends.ends_val[i]);
         }
     }
 }
 
 void
-owner_hints_adopt(struct cw_owner *owner)
+owner_hints_apply_all(struct cw_owner *owner)
 {
     GHashTable *jobs = cw_replica_jobs(owner->options.replica);
     GHashTableIter iterator;
--- a/src/owner/owner_waits.c
+++ b/src/owner/owner_idle.c
@@ -59,7 +59,7 @@
         [OWNER_IDLE_STALLED] = "stalled",
         [OWNER_IDLE_EVACUATED] = "evacuated",
         [OWNER_IDLE_UNANSWERED] = "unanswered",
-        [OWNER_IDLE_RECLAIMED] = "reclaimed",
+        [OWNER_IDLE_PREEMPTED] = "reclaimed",
         [OWNER_IDLE_LOST] = "lost",
         [OWNER_IDLE_FAILED] = "failed",
     };
@@ -86,7 +86,7 @@
         cw_log_info(
             "job_resumed",
             "id=%s idle_ms=%" PRId64 " room_ms=%" PRId64 " after=%s runs=%u",
-            job->spec->id, idle_ms, cw_idle_room_ms(&job->idle.clock, now),
+            job->spec->id, idle_ms, cw_idle_free_ms(&job->idle.clock, now),
             cause_name(job->idle.cause), job->runs);
     }
     cw_idle_begin(&job->idle.clock, now);
@@ -101,7 +101,7 @@
     owner_resources_add(&room->used, &target->orphans);
     for (guint i = 0; i < target->runs->len; i++) {
         const struct owner_run *run = target->runs->pdata[i];
-        struct cw_resources need = owner_need(run->task->step->spec);
+        struct cw_resources need = owner_step_need(run->task->step->spec);
 
         if (run->phase == RUN_RUNNING) {
             owner_resources_add(&room->used, &need);
@@ -145,7 +145,7 @@
         struct owner_occurrence *occurrence = job->open->pdata[i];
 
         for (unsigned k = 0; k < occurrence->count; k++) {
-            if (owner_step_has_turn(&occurrence->steps[k])) {
+            if (owner_step_is_unblocked(&occurrence->steps[k])) {
                 return &occurrence->steps[k];
             }
         }
@@ -171,10 +171,10 @@
     if (run != NULL) {
         return owner_run_phase_name(run->phase);
     }
-    if (owner_step_is_held_back(step, now)) {
+    if (owner_step_is_delayed(step, now)) {
         return "suspect";
     }
-    return owner_once_may_begin(owner, step) ? "no_place" : "once";
+    return owner_at_most_once_may_start(owner, step) ? "no_place" : "once";
 }
 
 /* The worker that a job waits for, as fields of a line. */
@@ -186,8 +186,8 @@
     }
     return g_strdup_printf("worker=%s silent=%u heard_ms=%" PRId64
                            " lease_left_ms=%" PRId64 " lease_by=%s",
-                           target->id, target->silent,
-                           owner_target_heard_ms(target, now),
+                           target->id, target->unanswered_polls,
+                           owner_target_since_answer_ms(target, now),
                            cw_time_diff_ms(now, target->lease_end),
                            owner_lease_source_name(target->lease_source));
 }
@@ -201,7 +201,7 @@
     const struct owner_run *run = first_run(step);
     char *worker = describe_worker(run != NULL ? run->target : NULL, now);
 
-    job->idle.told_at = now;
+    job->idle.logged_at = now;
     cw_log_warning(
         "job_waits",
         "id=%s waits_ms=%" PRId64 " room_ms=%" PRId64
@@ -209,20 +209,21 @@
         " stopping=%d unanswered=%u step=%u.%u left=%u runs=%u"
         " fits=%u booked=%u avoided=%u rack=%u urgent=%u orders=%u most=%u",
         job->spec->id, waiting->waited_ms,
-        cw_idle_room_ms(&job->idle.clock, now), cause_name(job->idle.cause),
+        cw_idle_free_ms(&job->idle.clock, now), cause_name(job->idle.cause),
         reason_of(owner, step, run, now), worker,
-        cw_time_diff_ms(owner->began, now), run != NULL && run->stopping,
-        run != NULL ? run->unanswered : 0, step->occurrence->number,
-        step->number, step->left, step->runs, fit->tasks,
-        fit->by_keeper[OWNER_KEEPER_BOOKED],
-        fit->by_keeper[OWNER_KEEPER_AVOIDED],
-        fit->by_keeper[OWNER_KEEPER_RACK], fit->by_keeper[OWNER_KEEPER_URGENT],
-        owner->pace.under_way, owner->pace.most);
+        cw_time_diff_ms(owner->takeover_began_at, now),
+        run != NULL && run->stopping, run != NULL ? run->unanswered : 0,
+        step->occurrence->number, step->number, step->left, step->runs,
+        fit->tasks, fit->by_blocker[OWNER_BLOCKER_UNCONFIRMED],
+        fit->by_blocker[OWNER_BLOCKER_AVOIDED],
+        fit->by_blocker[OWNER_BLOCKER_RACK],
+        fit->by_blocker[OWNER_BLOCKER_HEADROOM], owner->order_window.in_flight,
+        owner->order_window.max_in_flight);
     g_free(worker);
 }
 
 static void
-count_repeating(struct owner_waits *waits, const struct owner_job *job)
+count_repeating(struct owner_idle_stats *waits, const struct owner_job *job)
 {
     for (guint i = 0; i < job->open->len; i++) {
         const struct owner_occurrence *occurrence = job->open->pdata[i];
@@ -286,20 +287,20 @@
 static void
 look_at(struct look *look, const struct waiting *waiting)
 {
-    struct owner_waits *waits = &look->owner->waits;
+    struct owner_idle_stats *waits = &look->owner->waits;
     struct owner_job *job = waiting->step->occurrence->job;
 
     bool has_room = owner_spare_fits_twice(look->spare, waiting->step) ||
                     is_mostly_free(look, job->service);
 
-    cw_idle_look(&job->idle.clock, has_room, look->now);
+    cw_idle_check(&job->idle.clock, has_room, look->now);
     if (!has_room || !waiting->too_long) {
         return;
     }
     waits->jobs++;
     waits->longest_ms = MAX(waits->longest_ms, waiting->waited_ms);
     if (look->told < TOLD_MOST &&
-        cw_time_diff_ms(job->idle.told_at, look->now) > TELL_EVERY_MS)
+        cw_time_diff_ms(job->idle.logged_at, look->now) > TELL_EVERY_MS)
     {
         struct owner_spare_fit fit =
             owner_spare_fit(look->spare, waiting->step);
@@ -338,7 +339,7 @@
 }
 
 void
-owner_waits_tick(struct cw_owner *owner, struct timespec now)
+owner_idle_tick(struct cw_owner *owner, struct timespec now)
 {
     struct look look = {.owner = owner, .now = now};
     GHashTableIter iterator;
@@ -348,7 +349,7 @@
         return;
     }
     owner->waits =
-        (struct owner_waits){.due = cw_time_add_ms(now, LOOK_EVERY_MS)};
+        (struct owner_idle_stats){.due = cw_time_add_ms(now, LOOK_EVERY_MS)};
     if (!owner_may_order(owner, now)) {
         return; /* another VM may decide, and know better */
     }
--- a/src/owner/owner_lives.c
+++ b/src/owner/owner_incarnations.c
@@ -9,18 +9,18 @@
  */
 #include "owner/internal/owner_crashes.h"
 
-struct owner_life
-owner_life_new(int64_t born_ms)
+struct owner_incarnation
+owner_incarnation_new(int64_t boot_ms)
 {
-    struct owner_life life = {.born_ms = born_ms, .speed = 1};
+    struct owner_incarnation incarnation = {.boot_ms = boot_ms, .speed = 1};
 
-    return life;
+    return incarnation;
 }
 
 bool
-owner_run_is_of_another(const struct owner_run *run, int64_t born_ms)
+owner_run_is_of_other_incarnation(const struct owner_run *run, int64_t boot_ms)
 {
-    return run->born_ms > 0 && born_ms > 0 && run->born_ms != born_ms;
+    return run->boot_ms > 0 && boot_ms > 0 && run->boot_ms != boot_ms;
 }
 
 /* Stops that the former life has confirmed bind this one no more: a start that
@@ -44,7 +44,7 @@
         if (run->phase == RUN_STARTING && run->unanswered > 0 &&
             owner_task_job(run->task)->spec->once)
         {
-            owner_run_leave(target->owner, run);
+            owner_run_evict(target->owner, run);
         }
     }
 }
@@ -54,42 +54,43 @@
 static void
 bound_lease(struct owner_target *target, struct timespec now)
 {
-    owner_lease_raise(target,
-                      cw_time_add_ms(now, owner_lease_most_ms(target->owner)),
-                      OWNER_LEASE_LIFE);
+    owner_lease_raise(
+        target,
+        cw_time_add_ms(now, owner_lease_max_duration_ms(target->owner)),
+        OWNER_LEASE_INCARNATION);
 }
 
 bool
-owner_life_answered(struct owner_target *target, int64_t born_ms)
+owner_incarnation_answered(struct owner_target *target, int64_t boot_ms)
 {
     struct cw_owner *owner = target->owner;
-    int64_t before_ms = target->life.born_ms;
+    int64_t before_ms = target->incarnation.boot_ms;
 
-    if (born_ms == 0 || born_ms == before_ms) {
+    if (boot_ms == 0 || boot_ms == before_ms) {
         return false;
     }
     if (before_ms == 0) {
-        target->life.born_ms = born_ms;
+        target->incarnation.boot_ms = boot_ms;
         return false;
     }
     cw_log_info("worker_restarted",
                 "worker=%s born_ms=%" PRId64 " before_ms=%" PRId64
                 " runs=%u ends=%" PRIu64 " confirmed=%" PRIu64 " draining=%d",
-                target->id, born_ms, before_ms, target->runs->len,
-                target->life.ends_applied, target->life.ends_confirmed,
-                target->draining);
+                target->id, boot_ms, before_ms, target->runs->len,
+                target->incarnation.ends_applied,
+                target->incarnation.ends_confirmed, target->draining);
     cw_count_add(owner->options.counters, CW_COUNT_RESTARTS, 1);
-    target->life = owner_life_new(born_ms);
+    target->incarnation = owner_incarnation_new(boot_ms);
     forget_stops(target);
     leave_once_only(target);
     bound_lease(target, owner_now(owner));
-    owner->room_version++;
-    owner->place_wanted = true;
+    owner->capacity_version++;
+    owner->placement_wanted = true;
     return true;
 }
 
 void
-owner_life_add_tombstone(const struct owner_run *run)
+owner_incarnation_add_tombstone(const struct owner_run *run)
 {
     struct cw_task_name name = owner_task_name(run->task);
 
@@ -100,12 +101,12 @@
 }
 
 void
-owner_life_unsure(struct owner_target *target)
+owner_incarnation_unresponsive(struct owner_target *target)
 {
     bool under_way = target->orders_in_flight > 0;
 
     /* What earlier owners gave has late orders in its bound. */
-    if (!owner_lease_given(target)) {
+    if (!owner_lease_possibly_granted(target)) {
         return;
     }
     for (guint i = 0; !under_way && i < target->runs->len; i++) {
@@ -115,7 +116,7 @@
     }
     if (under_way) {
         target->lease_end =
-            cw_time_add_ms(target->lease_end, OWNER_ORDER_ARRIVES_MS);
+            cw_time_add_ms(target->lease_end, OWNER_ORDER_DELAY_MAX_MS);
     }
 }
 
@@ -127,18 +128,19 @@
 {
     const struct owner_target *target = run->target;
 
-    return run->phase == RUN_RUNNING && run->born_ms == target->life.born_ms &&
-           cw_time_before(run->started_at, target->seen_at);
+    return run->phase == RUN_RUNNING &&
+           run->boot_ms == target->incarnation.boot_ms &&
+           cw_time_before(run->started_at, target->answered_poll_sent_at);
 }
 
 void
-owner_life_unanswered(struct owner_target *target)
+owner_incarnation_poll_failed(struct owner_target *target)
 {
     struct cw_owner *owner = target->owner;
     guint i = 0;
 
-    if (target->life.born_ms == 0 ||
-        target->reported_born_ms <= target->life.born_ms)
+    if (target->incarnation.boot_ms == 0 ||
+        target->reported_boot_ms <= target->incarnation.boot_ms)
     {
         return;
     }
@@ -156,25 +158,25 @@
             i++;
         }
     }
-    owner_crashes_proved(owner, target, target->reported_born_ms);
+    owner_crashes_confirmed(owner, target, target->reported_boot_ms);
 }
 
 void
-owner_life_reported(struct owner_target *target, int64_t born_ms)
+owner_incarnation_reported(struct owner_target *target, int64_t boot_ms)
 {
     struct cw_owner *owner = target->owner;
 
-    if (born_ms == 0 || born_ms == target->reported_born_ms) {
+    if (boot_ms == 0 || boot_ms == target->reported_boot_ms) {
         return;
     }
-    target->reported_born_ms = born_ms;
-    if (born_ms <= target->life.born_ms) {
+    target->reported_boot_ms = boot_ms;
+    if (boot_ms <= target->incarnation.boot_ms) {
         return; /* read late: a look has told of this one, or a later one */
     }
-    target->gone = false;
-    target->hold_due = owner_now(owner);
+    target->superseded = false;
+    target->poll_due = owner_now(owner);
     owner_target_wake(target);
-    if (owner->state == OWNER_ACTIVE && target->silent > 0) {
-        owner_life_unanswered(target);
+    if (owner->state == OWNER_ACTIVE && target->unanswered_polls > 0) {
+        owner_incarnation_poll_failed(target);
     }
 }
--- a/src/owner/owner_jobs.c
+++ b/src/owner/owner_jobs.c
@@ -37,7 +37,7 @@
 static void
 place_clear(gpointer data)
 {
-    struct owner_place *place = data;
+    struct owner_job_placement *place = data;
 
     g_free(place->worker);
     g_free(place->dc);
@@ -90,14 +90,14 @@
 /* ---- where it has run ---- */
 
 void
-owner_job_ran(struct owner_job *job, const char *worker, const char *dc,
-              unsigned runs)
+owner_job_add_placement(struct owner_job *job, const char *worker,
+                        const char *dc, unsigned runs)
 {
-    struct owner_place added = {.runs = runs};
+    struct owner_job_placement added = {.runs = runs};
 
     for (guint i = 0; i < job->places->len; i++) {
-        struct owner_place *place =
-            &g_array_index(job->places, struct owner_place, i);
+        struct owner_job_placement *place =
+            &g_array_index(job->places, struct owner_job_placement, i);
 
         if (strcmp(place->worker, worker) == 0) {
             place->runs += runs;
@@ -110,20 +110,20 @@
 }
 
 void
-owner_job_begun(struct cw_owner *owner, struct owner_job *job,
-                const struct owner_target *target)
+owner_job_start_confirmed(struct cw_owner *owner, struct owner_job *job,
+                          const struct owner_target *target)
 {
     if (!job->begun) {
         job->begun = true;
         cw_count_latency(owner->options.counters, CW_LATENCY_BEGUN,
                          cw_time_diff_ms(job->known_at, owner_now(owner)));
     }
-    if (owner->options.tells_places && job->places->len < CW_TASKS_MAX) {
-        owner_job_ran(job, target->id, target->dc, 1);
+    if (owner->options.exposes_placements && job->places->len < CW_TASKS_MAX) {
+        owner_job_add_placement(job, target->id, target->dc, 1);
     }
     if (job->spec->once) {
         /* A later owner has to know that it may have worked. */
-        owner_job_touch(owner, job);
+        owner_job_mark_dirty(owner, job);
     }
 }
 
@@ -134,7 +134,7 @@
 static struct timespec
 objective_of(const struct cw_work_spec *spec, struct timespec accepted)
 {
-    int64_t chain = cw_work_chain_ms(spec);
+    int64_t chain = cw_work_critical_path_ms(spec);
 
     return cw_time_add_ms(accepted, chain * spec->stretch_milli / MILLI +
                                         spec->target_latency_ms);
@@ -193,7 +193,7 @@
 {
     job->final = true;
     job->final_durable = end_is_told(job->entry);
-    owner_job_tell(owner, job);
+    owner_job_publish(owner, job);
     if (job->runs == 0 && job->final_durable) {
         g_hash_table_remove(owner->jobs, job->spec->id);
         return;
@@ -208,7 +208,7 @@
 static GBytes *
 state_of(const struct cw_owner *owner, const struct cw_replica_job *entry)
 {
-    GBytes *state = owner_stored_find(owner->stored, entry->id);
+    GBytes *state = owner_state_reader_find(owner->stored, entry->id);
 
     return state != NULL ? state : entry->record;
 }
@@ -223,9 +223,9 @@
     if (state != NULL && !owner_job_restore(owner, job, state)) {
         return false;
     }
-    job->told_phase =
+    job->published_phase =
         entry->record != NULL ? entry->recorded_phase : CW_WORK_WAITING;
-    job->told_started = entry->started;
+    job->published_started = entry->started;
     if (end_is_told(entry)) {
         /* The two are written side by side: its state may be older. */
         job->phase = entry->recorded_phase;
@@ -254,11 +254,12 @@
     job->spec = entry->spec;
     job->service = g_intern_string(entry->spec->service);
     job->open = g_ptr_array_new_with_free_func(occurrence_free);
-    job->places = g_array_new(FALSE, FALSE, sizeof(struct owner_place));
+    job->places =
+        g_array_new(FALSE, FALSE, sizeof(struct owner_job_placement));
     g_array_set_clear_func(job->places, place_clear);
     age_ms = cw_clock_wall_ms(owner->options.clock) - entry->spec->accepted_ms;
     job->known_at = cw_time_add_ms(now, -CLAMP(age_ms, 0, G_MAXINT));
-    job->objective = objective_of(job->spec, job->known_at);
+    job->objective_at = objective_of(job->spec, job->known_at);
     cw_idle_begin(&job->idle.clock, now);
     g_hash_table_insert(owner->jobs, entry->id, job);
     if (!restore(owner, job, state)) {
@@ -269,21 +270,21 @@
         adopt_ended(owner, job);
         return;
     }
-    owner_job_tell(owner, job);
+    owner_job_publish(owner, job);
     log_taken(job, age_ms);
     if (entry->cancelled) {
         owner_job_end(owner, job, CW_WORK_CANCELLED, CW_END_CANCELLED);
         return;
     }
-    owner_headroom_arrived(owner, job);
+    owner_headroom_job_accepted(owner, job);
     owner_job_open_due(owner, job, now);
-    owner->place_wanted = true;
+    owner->placement_wanted = true;
 }
 
 /* ---- ends ---- */
 
 void
-owner_job_touch(struct cw_owner *owner, struct owner_job *job)
+owner_job_mark_dirty(struct cw_owner *owner, struct owner_job *job)
 {
     /* The record of an end is written once: its place in the log, before or
      * after a cancellation, is what decides between the two. */
@@ -304,13 +305,13 @@
     job->phase = phase;
     job->reason = reason;
     job->ended_ms = cw_clock_wall_ms(owner->options.clock);
-    owner_job_touch(owner, job);
+    owner_job_mark_dirty(owner, job);
     cw_log_info("job_over",
                 "id=%s queue=%s outcome=%s reason=%s age_ms=%" PRId64
                 " late_ms=%" PRId64,
                 job->spec->id, job->spec->queue, cw_work_phase_name(phase),
                 cw_result_name(reason), cw_time_diff_ms(job->known_at, now),
-                cw_time_diff_ms(job->objective, now));
+                cw_time_diff_ms(job->objective_at, now));
 }
 
 void
@@ -360,8 +361,8 @@
     step->done = true;
     step->left = 0;
     owner_idle_begin(owner, job);
-    owner_job_touch(owner, job);
-    owner->place_wanted = true;
+    owner_job_mark_dirty(owner, job);
+    owner->placement_wanted = true;
     if (!cw_work_is_over(job->phase) && job_done(job)) {
         job_over(owner, job, CW_WORK_COMPLETED, CW_END_DONE);
     }
@@ -395,13 +396,13 @@
         }
         owner_occurrence_open(job, job->next_occurrence++);
         owner_idle_begin(owner, job);
-        owner->place_wanted = true;
+        owner->placement_wanted = true;
     }
     return cw_time_from_ms(INT32_MAX);
 }
 
 bool
-owner_job_is_past(const struct owner_job *job)
+owner_job_is_removable(const struct owner_job *job)
 {
     /* Until the replica has read the end it would hand the job in again. */
     return job->final && job->final_durable && job->runs == 0 &&
--- a/src/owner/owner_notes.c
+++ b/src/owner/owner_lease_notes.c
@@ -5,7 +5,7 @@
  *   earlier owners may still extend.
  * - From when a note is put into a batch until a record that drops it is known
  *   to be stored, the worker's lease is extended neither by looks nor by
- *   starts, and nothing is placed there (owner_target_lease, send_hold, waits,
+ *   starts, and nothing is placed there (owner_lease_grant, send_hold, waits,
  *   owner_target_reachable).  A VM that takes over treats the notes that it
  *   has read so as well.
  * - A VM decides only after it has read all that was written before it shut
@@ -29,7 +29,7 @@
 static bool
 is_heard(const struct owner_target *target)
 {
-    return target->answered && target->silent == 0;
+    return target->answered && target->unanswered_polls == 0;
 }
 
 /* True if nobody expects an answer from it soon.  One without an address is
@@ -38,8 +38,8 @@
 is_silent(const struct owner_target *target, struct timespec now)
 {
     return target->address[0] == '\0' ||
-           (target->silent > 0 &&
-            cw_time_diff_ms(target->silent_since, now) >= NOTE_AFTER_MS);
+           (target->unanswered_polls > 0 &&
+            cw_time_diff_ms(target->unresponsive_since, now) >= NOTE_AFTER_MS);
 }
 
 /* True if the worker is to be noted: it is not yet, or long ago. */
@@ -47,10 +47,12 @@
 wants_note(const struct cw_owner *owner, const struct owner_target *target,
            struct timespec now)
 {
-    bool due = target->note == OWNER_NOTE_NONE
-                   ? is_silent(target, now)
-                   : target->note == OWNER_NOTE_WRITTEN && !is_heard(target) &&
-                         cw_time_diff_ms(target->noted_at, now) >= RENEW_MS;
+    bool due =
+        target->lease_note == OWNER_LEASE_NOTE_NONE
+            ? is_silent(target, now)
+            : target->lease_note == OWNER_LEASE_NOTE_WRITTEN &&
+                  !is_heard(target) &&
+                  cw_time_diff_ms(target->lease_note_at, now) >= RENEW_MS;
 
     return due && owner_target_has_ordered_run(target) &&
            cw_time_before(now, target->lease_end) &&
@@ -60,21 +62,21 @@
 static bool
 wants_drop(const struct owner_target *target)
 {
-    return target->note == OWNER_NOTE_WRITTEN &&
+    return target->lease_note == OWNER_LEASE_NOTE_WRITTEN &&
            (is_heard(target) || !owner_target_has_ordered_run(target));
 }
 
 struct timespec
-owner_note_tick(struct cw_owner *owner, struct owner_target *target,
-                struct timespec now)
+owner_lease_note_tick(struct cw_owner *owner, struct owner_target *target,
+                      struct timespec now)
 {
-    if (target->note_due ||
+    if (target->lease_note_queued ||
         !(wants_note(owner, target, now) || wants_drop(target)))
     {
         return cw_time_from_ms(INT32_MAX);
     }
-    target->note_due = true;
-    g_ptr_array_add(owner->notes_due, target);
+    target->lease_note_queued = true;
+    g_ptr_array_add(owner->lease_notes_due, target);
     return now; /* the log is written ahead of the workers' turn */
 }
 
@@ -84,29 +86,31 @@
 put_note(struct owner_batch *batch, struct owner_target *target,
          struct timespec now)
 {
-    struct cw_note_record note = {
+    struct cw_note_record lease_note = {
         .left_ms = (unsigned)cw_time_diff_ms(now, target->lease_end)};
 
-    if (target->note == OWNER_NOTE_NONE) {
-        cw_log_info("worker_noted", "worker=%s left_ms=%u runs=%u silent=%u",
-                    target->id, note.left_ms, target->runs->len,
-                    target->silent);
+    if (target->lease_note == OWNER_LEASE_NOTE_NONE) {
+        cw_log_info("lease_note_written",
+                    "worker=%s left_ms=%u runs=%u silent=%u", target->id,
+                    lease_note.left_ms, target->runs->len,
+                    target->unanswered_polls);
     }
-    target->note = OWNER_NOTE_WRITTEN;
-    target->noted_at = now;
-    owner_batch_put(batch, cw_work_key(CW_WORK_KEY_NOTE, target->id),
-                    cw_xdr_encode((xdrproc_t)xdr_cw_note_record, &note));
+    target->lease_note = OWNER_LEASE_NOTE_WRITTEN;
+    target->lease_note_at = now;
+    owner_batch_put(batch, cw_work_key(CW_WORK_KEY_LEASE_NOTE, target->id),
+                    cw_xdr_encode((xdrproc_t)xdr_cw_note_record, &lease_note));
 }
 
 static void
 put_drop(struct owner_batch *batch, struct owner_target *target)
 {
-    target->note = OWNER_NOTE_DROPPED;
-    cw_log_info("worker_note_taken_back", "worker=%s reason=%s runs=%u",
+    target->lease_note = OWNER_LEASE_NOTE_DROPPED;
+    cw_log_info("lease_note_dropped", "worker=%s reason=%s runs=%u",
                 target->id, is_heard(target) ? "heard" : "no_runs",
                 target->runs->len);
-    owner_batch_note(batch, target->id);
-    owner_batch_put(batch, cw_work_key(CW_WORK_KEY_NOTE, target->id), NULL);
+    owner_batch_add_job(batch, target->id);
+    owner_batch_put(batch, cw_work_key(CW_WORK_KEY_LEASE_NOTE, target->id),
+                    NULL);
 }
 
 /* The worker's lease may be extended again. */
@@ -120,29 +124,29 @@
         struct owner_target *target =
             g_hash_table_lookup(owner->targets, dropped->pdata[i]);
 
-        target->note = OWNER_NOTE_NONE;
-        target->hold_due = owner_now(owner);
+        target->lease_note = OWNER_LEASE_NOTE_NONE;
+        target->poll_due = owner_now(owner);
         owner_target_wake(target);
-        owner->place_wanted = true;
+        owner->placement_wanted = true;
     }
 }
 
 bool
-owner_notes_send(struct cw_owner *owner, struct timespec now)
+owner_lease_notes_send(struct cw_owner *owner, struct timespec now)
 {
     struct owner_batch *batch;
     guint taken = 0;
 
-    if (owner->notes_due->len == 0) {
+    if (owner->lease_notes_due->len == 0) {
         return false;
     }
     batch = owner_batch_new(on_notes_stored, owner);
-    while (taken < owner->notes_due->len &&
-           owner_batch_records(batch) < NOTES_MOST)
+    while (taken < owner->lease_notes_due->len &&
+           owner_batch_record_count(batch) < NOTES_MOST)
     {
-        struct owner_target *target = owner->notes_due->pdata[taken++];
+        struct owner_target *target = owner->lease_notes_due->pdata[taken++];
 
-        target->note_due = false;
+        target->lease_note_queued = false;
         if (wants_note(owner, target, now)) {
             put_note(batch, target, now);
         }
@@ -150,8 +154,8 @@
             put_drop(batch, target);
         }
     }
-    g_ptr_array_remove_range(owner->notes_due, 0, taken);
-    if (owner_batch_records(batch) == 0) {
+    g_ptr_array_remove_range(owner->lease_notes_due, 0, taken);
+    if (owner_batch_record_count(batch) == 0) {
         owner_batch_free(batch);
         return false;
     }
@@ -162,24 +166,25 @@
 /* ---- taking over ---- */
 
 void
-owner_notes_adopt(struct cw_owner *owner)
+owner_lease_notes_adopt(struct cw_owner *owner)
 {
-    GHashTable *notes = cw_replica_notes(owner->options.replica);
+    GHashTable *notes = cw_replica_lease_notes(owner->options.replica);
     GHashTableIter iterator;
     gpointer worker;
     gpointer value;
 
     g_hash_table_iter_init(&iterator, notes);
     while (g_hash_table_iter_next(&iterator, &worker, &value)) {
-        const struct cw_replica_note *note = value;
+        const struct cw_replica_lease_note *lease_note = value;
         struct owner_target *target = owner_target_get(owner, worker);
 
-        target->note = OWNER_NOTE_WRITTEN;
-        target->noted_at = note->read_at;
+        target->lease_note = OWNER_LEASE_NOTE_WRITTEN;
+        target->lease_note_at = lease_note->read_at;
         owner_lease_lower(target,
-                          owner_lease_end_read(note->read_at, note->left_ms),
+                          owner_lease_end_from_record(lease_note->read_at,
+                                                      lease_note->left_ms),
                           OWNER_LEASE_NOTE);
-        cw_log_info("worker_note_taken_over",
+        cw_log_info("lease_note_adopted",
                     "worker=%s left_ms=%" PRId64 " runs=%u", target->id,
                     cw_time_diff_ms(owner_now(owner), target->lease_end),
                     target->runs->len);
--- a/src/owner/owner_leases.c
+++ b/src/owner/owner_leases.c
@@ -20,11 +20,11 @@
 int64_t
 owner_with_drift_ms(int64_t ms)
 {
-    return ms + ms * OWNER_DRIFT_PERCENT / 100;
+    return ms + ms * OWNER_CLOCK_DRIFT_PERCENT / 100;
 }
 
 struct timespec
-owner_lease_end_read(struct timespec read_at, int64_t left_ms)
+owner_lease_end_from_record(struct timespec read_at, int64_t left_ms)
 {
     return cw_time_add_ms(read_at, owner_with_drift_ms(left_ms) + 1);
 }
@@ -37,13 +37,13 @@
 }
 
 int64_t
-owner_lease_most_ms(const struct cw_owner *owner)
+owner_lease_max_duration_ms(const struct cw_owner *owner)
 {
     return most_ms(owner->options.lease_ms);
 }
 
 int64_t
-owner_lease_longest_ms(const struct cw_owner *owner)
+owner_lease_max_granted_ms(const struct cw_owner *owner)
 {
     return MIN(owner->options.lease_ms, LONG_LEASE_MS);
 }
@@ -71,21 +71,22 @@
 /* From then on it refuses earlier owners: what they gave lasts no longer than
  * a lease may.  Where nothing was known of it, it may last so long. */
 void
-owner_lease_seen(struct owner_target *target, struct timespec now)
+owner_lease_token_seen(struct owner_target *target, struct timespec now)
 {
     struct timespec latest =
-        cw_time_add_ms(now, owner_lease_most_ms(target->owner));
+        cw_time_add_ms(now, owner_lease_max_duration_ms(target->owner));
 
-    if (target->seen_at.tv_sec == 0 && target->runs->len == 0) {
-        owner_lease_raise(target, latest, OWNER_LEASE_EARLIER);
+    if (target->answered_poll_sent_at.tv_sec == 0 && target->runs->len == 0) {
+        owner_lease_raise(target, latest, OWNER_LEASE_EARLIER_OWNER);
     }
-    owner_lease_lower(target, latest, OWNER_LEASE_EARLIER);
+    owner_lease_lower(target, latest, OWNER_LEASE_EARLIER_OWNER);
 }
 
 bool
-owner_lease_given(const struct owner_target *target)
+owner_lease_possibly_granted(const struct owner_target *target)
 {
-    return target->seen_at.tv_sec > 0 || target->life.lease_sent_ms > 0;
+    return target->answered_poll_sent_at.tv_sec > 0 ||
+           target->incarnation.lease_sent_ms > 0;
 }
 
 const char *
@@ -93,9 +94,9 @@
 {
     static const char *const names[] = {
         [OWNER_LEASE_OWN] = "own",
-        [OWNER_LEASE_EARLIER] = "earlier_owner",
+        [OWNER_LEASE_EARLIER_OWNER] = "earlier_owner",
         [OWNER_LEASE_NOTE] = "note",
-        [OWNER_LEASE_LIFE] = "life",
+        [OWNER_LEASE_INCARNATION] = "life",
     };
 
     return names[source];
@@ -108,7 +109,7 @@
     for (guint i = 0; i < target->runs->len; i++) {
         const struct owner_run *run = target->runs->pdata[i];
 
-        if (run->phase == RUN_RUNNING || run->phase == RUN_UNSURE) {
+        if (run->phase == RUN_RUNNING || run->phase == RUN_INHERITED) {
             return true;
         }
     }
@@ -122,7 +123,7 @@
 static int64_t
 lease_ms_for(const struct owner_target *target, enum cw_order_kind kind)
 {
-    int64_t lease_ms = owner_lease_longest_ms(target->owner);
+    int64_t lease_ms = owner_lease_max_granted_ms(target->owner);
     bool is_short = target->draining || kind == CW_ORDER_START ||
                     !has_confirmed_run(target);
 
@@ -133,45 +134,48 @@
 static int64_t
 clock_behind_ms(const struct owner_target *target, struct timespec now)
 {
-    return cw_time_diff_ms(target->life.clock_at, now) * OWNER_DRIFT_PERCENT /
-           100;
+    return cw_time_diff_ms(target->incarnation.clock_at, now) *
+           OWNER_CLOCK_DRIFT_PERCENT / 100;
 }
 
 bool
 owner_lease_clock_is_fresh(const struct owner_target *target,
                            struct timespec now)
 {
-    return target->life.clock_known &&
-           cw_time_diff_ms(target->life.clock_at, now) <= CLOCK_FRESH_MS;
+    return target->incarnation.clock_known &&
+           cw_time_diff_ms(target->incarnation.clock_at, now) <=
+               CLOCK_FRESH_MS;
 }
 
 int64_t
-owner_target_lease(struct owner_target *target, enum cw_order_kind kind,
-                   struct timespec now)
+owner_lease_grant(struct owner_target *target, enum cw_order_kind kind,
+                  struct timespec now)
 {
     struct cw_owner *owner = target->owner;
     int64_t lease_ms = lease_ms_for(target, kind);
     /* Where a worker may start again under its id, the order may meet its next
      * life, whose clock is another: as long as a lease may be. */
     int64_t lasts_ms =
-        target->life.born_ms > 0 ? owner->options.lease_ms : lease_ms;
+        target->incarnation.boot_ms > 0 ? owner->options.lease_ms : lease_ms;
     int64_t until_ms = cw_time_diff_ms(cw_time_from_ms(0), now) +
-                       target->life.clock_offset_ms + lease_ms -
+                       target->incarnation.clock_offset_ms + lease_ms -
                        clock_behind_ms(target, now);
 
     /* While it is silent its lease is not extended, so that the tasks there
      * can be started elsewhere once the last one has passed. */
     if (!owner_lease_clock_is_fresh(target, now) ||
-        target->note != OWNER_NOTE_NONE || owner_tombstone_pending(target) ||
-        (target->silent > 0 && target->life.lease_sent_ms > 0) ||
-        !owner_may_extend(owner, now))
+        target->lease_note != OWNER_LEASE_NOTE_NONE ||
+        owner_tombstone_pending(target) ||
+        (target->unanswered_polls > 0 &&
+         target->incarnation.lease_sent_ms > 0) ||
+        !owner_may_extend_leases(owner, now))
     {
-        return target->life.lease_sent_ms;
+        return target->incarnation.lease_sent_ms;
     }
-    if (until_ms > target->life.lease_sent_ms) {
-        target->life.lease_sent_ms = until_ms;
+    if (until_ms > target->incarnation.lease_sent_ms) {
+        target->incarnation.lease_sent_ms = until_ms;
     }
     owner_lease_raise(target, cw_time_add_ms(now, most_ms(lasts_ms)),
                       OWNER_LEASE_OWN);
-    return target->life.lease_sent_ms;
+    return target->incarnation.lease_sent_ms;
 }
--- a/src/owner/owner_log.c
+++ b/src/owner/owner_log.c
@@ -76,7 +76,7 @@
 }
 
 void
-owner_batch_note(struct owner_batch *batch, const char *job)
+owner_batch_add_job(struct owner_batch *batch, const char *job)
 {
     g_ptr_array_add(batch->jobs, g_strdup(job));
 }
@@ -88,13 +88,13 @@
 }
 
 struct timespec
-owner_batch_sent(const struct owner_batch *batch)
+owner_batch_sent_at(const struct owner_batch *batch)
 {
     return batch->sent;
 }
 
 unsigned
-owner_batch_records(const struct owner_batch *batch)
+owner_batch_record_count(const struct owner_batch *batch)
 {
     return batch->keys->len;
 }
@@ -112,7 +112,7 @@
 {
     log->sequence = batch->sequence + 1;
     log->batch = NULL;
-    log->options.proved(log->options.context, batch->sent);
+    log->options.confirmed(log->options.context, batch->sent);
     if (batch->stored != NULL) {
         batch->stored(batch->context, batch);
     }
@@ -151,12 +151,12 @@
     }
     else {
         batch->sequence = expected;
-        try_again(log, batch, CW_STORE_SEQUENCE);
+        try_again(log, batch, CW_STORE_OUT_OF_SEQUENCE);
     }
 }
 
 static void
-on_appended(void *context, const struct cw_store_appended *result)
+on_appended(void *context, const struct cw_store_append_result *result)
 {
     struct owner_batch *batch = context;
     struct owner_log *log = batch->log;
@@ -177,7 +177,7 @@
     case CW_STORE_FENCED:
         lose(log, "higher_epoch");
         break;
-    case CW_STORE_SEQUENCE:
+    case CW_STORE_OUT_OF_SEQUENCE:
         out_of_sequence(log, batch, result->expected_sequence);
         break;
     case CW_STORE_UNKNOWN:
@@ -285,7 +285,7 @@
 }
 
 uint64_t
-owner_log_opened_at(const struct owner_log *log)
+owner_log_open_offset(const struct owner_log *log)
 {
     return log->opened_at;
 }
@@ -297,7 +297,7 @@
 }
 
 struct timespec
-owner_log_sent(const struct owner_log *log)
+owner_log_last_sent_at(const struct owner_log *log)
 {
     return log->sent;
 }
--- a/src/owner/owner_memo.c
+++ b/src/owner/owner_memo.c
@@ -23,7 +23,7 @@
 
 struct owner_memo {
     GArray *failed; /* struct shape */
-    uint64_t room_version;
+    uint64_t capacity_version;
 };
 
 struct owner_memo *
@@ -43,7 +43,7 @@
 }
 
 void
-owner_memo_begin(struct owner_memo *memo)
+owner_memo_reset(struct owner_memo *memo)
 {
     g_array_set_size(memo->failed, 0);
 }
@@ -53,19 +53,20 @@
          enum owner_attempt attempt, struct timespec now)
 {
     const struct owner_job *job = step->occurrence->job;
-    bool confined = owner->routing != NULL && owner->routing->confined;
+    bool enforces_residency =
+        owner->routing != NULL && owner->routing->enforces_residency;
     struct shape shape = {
         .attempt = attempt,
         .service = job->service,
         .label = step->spec->label,
-        .account = confined ? job->spec->account : "",
-        .need = owner_need(step->spec),
+        .account = enforces_residency ? job->spec->account : "",
+        .need = owner_step_need(step->spec),
         .priority = job->spec->priority,
         .gang = step->spec->gang ? step->count : 0,
         .needs_rack = owner_step_needs_rack(owner, step, now),
         .exempt = owner_headroom_exempts(owner, step, now),
-        .guaranteed =
-            attempt == OWNER_ATTEMPT_RECLAIM && owner_guaranteed(owner, job),
+        .guaranteed = attempt == OWNER_ATTEMPT_PREEMPT &&
+                      owner_job_is_guaranteed(owner, job),
     };
 
     return shape;
@@ -106,17 +107,19 @@
 }
 
 bool
-owner_memo_hopeless(struct cw_owner *owner, struct owner_step *step,
-                    enum owner_attempt attempt, struct timespec now)
+owner_memo_has_failed(struct cw_owner *owner, struct owner_step *step,
+                      enum owner_attempt attempt, struct timespec now)
 {
     struct owner_memo *memo = owner->memo;
     struct shape shape;
 
-    if (memo->room_version != owner->room_version) {
-        memo->room_version = owner->room_version;
+    if (memo->capacity_version != owner->capacity_version) {
+        memo->capacity_version = owner->capacity_version;
         g_array_set_size(memo->failed, 0);
     }
-    if (memo->failed->len == 0 || cw_time_before(now, step->holds_until)) {
+    if (memo->failed->len == 0 ||
+        cw_time_before(now, step->rack_reservation_until))
+    {
         return false;
     }
     shape = shape_of(owner, step, attempt, now);
@@ -130,8 +133,8 @@
 }
 
 void
-owner_memo_failed(struct cw_owner *owner, struct owner_step *step,
-                  enum owner_attempt attempt, struct timespec now)
+owner_memo_add_failure(struct cw_owner *owner, struct owner_step *step,
+                       enum owner_attempt attempt, struct timespec now)
 {
     struct owner_memo *memo = owner->memo;
     struct shape shape;
@@ -139,8 +142,8 @@
     if (is_special(step)) {
         return;
     }
-    if (memo->room_version != owner->room_version) {
-        memo->room_version = owner->room_version;
+    if (memo->capacity_version != owner->capacity_version) {
+        memo->capacity_version = owner->capacity_version;
         g_array_set_size(memo->failed, 0);
     }
     shape = shape_of(owner, step, attempt, now);
--- a/src/owner/owner_moves.c
+++ b/src/owner/owner_moves.c
@@ -11,8 +11,8 @@
 static unsigned
 fits_there(const struct owner_step *step, struct owner_target *target)
 {
-    struct cw_resources need = owner_need(step->spec);
-    struct cw_resources room = owner_room(target);
+    struct cw_resources need = owner_step_need(step->spec);
+    struct cw_resources room = owner_free_resources(target);
 
     for (guint i = 0; i < target->runs->len; i++) {
         const struct owner_run *run = target->runs->pdata[i];
@@ -21,7 +21,7 @@
             owner_resources_add(&room, &need);
         }
     }
-    return owner_most_there(step, target, owner_fits(&room, &need));
+    return owner_limit_per_worker(step, target, owner_fit_count(&room, &need));
 }
 
 /* Tasks of the step that would fit there if the run left its worker for good,
@@ -33,7 +33,8 @@
     const struct owner_step *step = run->task->step;
 
     if (target == run->target || !owner_target_usable(target, now) ||
-        owner_is_held(target, step, now) || !owner_may_run(step, target) ||
+        owner_target_is_reserved(target, step, now) ||
+        !owner_step_allows_target(step, target) ||
         !owner_headroom_allows(owner, step, target, now))
     {
         return 0;
@@ -49,7 +50,8 @@
     struct owner_step *step = run->task->step;
     unsigned together = step->spec->gang ? step->count : 1;
     bool needs_rack = owner_step_needs_rack(owner, step, now);
-    unsigned *racks = g_new0(unsigned, owner->rack_hosts->len);
+    unsigned *racks =
+        g_new0(unsigned, owner->rack_lower_priority_workers->len);
     unsigned all = 0;
     bool found = false;
     GHashTableIter iterator;
@@ -78,9 +80,9 @@
 }
 
 void
-owner_run_displace(struct cw_owner *owner, struct owner_run *run,
-                   enum owner_idle_cause cause)
+owner_run_evict_for(struct cw_owner *owner, struct owner_run *run,
+                    enum owner_idle_cause cause)
 {
     owner_task_job(run->task)->idle.cause = cause;
-    owner_run_leave(owner, run);
+    owner_run_evict(owner, run);
 }
--- a/src/owner/owner_orders.c
+++ b/src/owner/owner_orders.c
@@ -35,7 +35,7 @@
 void
 owner_order_free(struct owner_order *order)
 {
-    order->owner->pace.under_way--;
+    order->owner->order_window.in_flight--;
     g_free(order->job);
     g_free(order);
 }
@@ -55,7 +55,7 @@
     order->task = *task;
     order->task.job = order->job;
     order->run = run;
-    owner->pace.under_way++;
+    owner->order_window.in_flight++;
     owner_target_wake(target);
     /* Stops free the room that starts wait for. */
     if (kind == CW_ORDER_STOP) {
@@ -93,7 +93,7 @@
         owner_run_stop(owner, run);
     }
     else {
-        step->unstarted_run = MAX(step->unstarted_run, run->number);
+        step->unstarted_run_max = MAX(step->unstarted_run_max, run->number);
         owner_run_drop(owner, run);
     }
     if (step->spec->gang) {
@@ -126,7 +126,7 @@
     run->unanswered++;
     cw_count_code(owner->options.counters, CW_RETRY_SILENT);
     avoid(order->target, AVOID_UNANSWERED_MS);
-    cw_time_earlier(&order->target->hold_due, owner_now(owner));
+    cw_time_earlier(&order->target->poll_due, owner_now(owner));
     if (run->unanswered < STARTS_UNANSWERED && !run->stopping) {
         owner_order_queue(owner, order->target, CW_ORDER_START, &order->task,
                           order->run);
@@ -143,7 +143,7 @@
                     run->unanswered, run->task->step->spec->gang,
                     run->task->step->runs);
     }
-    owner_run_displace(owner, run, OWNER_IDLE_UNANSWERED);
+    owner_run_evict_for(owner, run, OWNER_IDLE_UNANSWERED);
 }
 
 static void
@@ -158,7 +158,8 @@
         run->saved_at = run->started_at;
         owner_idle_end(owner, owner_task_job(run->task));
         owner_task_job(run->task)->idle.cause = OWNER_IDLE_NONE;
-        owner_job_begun(owner, owner_task_job(run->task), run->target);
+        owner_job_start_confirmed(owner, owner_task_job(run->task),
+                                  run->target);
     }
 }
 
@@ -186,7 +187,7 @@
         avoid(target, AVOID_UNREACHABLE_MS);
         fall_back(owner, run);
         break;
-    case CW_TARGET_NO_ROOM:
+    case CW_TARGET_NO_CAPACITY:
         cw_count_code(owner->options.counters, CW_RETRY_REFUSED);
         avoid(target, AVOID_FULL_MS);
         fall_back(owner, run);
@@ -225,7 +226,7 @@
     if (confirmed) {
         run->stop_confirmed = true;
         run->stop_confirmed_at = now;
-        order->target->hold_due = now;
+        order->target->poll_due = now;
     }
     else {
         run->stop_due = cw_time_add_ms(now, STOP_RETRY_MS);
@@ -260,17 +261,18 @@
     cw_count_latency(owner->options.counters, CW_LATENCY_ORDER,
                      cw_time_diff_ms(order->sent, now));
     if (answer->status == CW_TARGET_OK) {
-        owner_pace_answered(&owner->pace, cw_time_diff_ms(order->sent, now));
+        owner_order_window_answered(&owner->order_window,
+                                    cw_time_diff_ms(order->sent, now));
     }
     log_answer(order, answer->status);
-    owner_target_clock(target, answer->clock_ms, now);
+    owner_target_set_clock(target, answer->clock_ms, now);
     if (answer->status == CW_TARGET_FENCED) {
         owner_order_free(order);
-        owner_depose(owner, "fenced_by_worker");
+        owner_drop_ownership(owner, "fenced_by_worker");
         return;
     }
-    if (answer->status == CW_TARGET_OTHER_LIFE) {
-        target->gone = true;
+    if (answer->status == CW_TARGET_OTHER_INCARNATION) {
+        target->superseded = true;
         owner_target_lost(owner, target, "other_life");
     }
     else if (order->kind == CW_ORDER_START) {
@@ -291,9 +293,9 @@
 {
     struct cw_resources room = target->capacity;
 
-    owner_resources_take(&room, &target->used);
+    owner_resources_subtract(&room, &target->used);
     return room.cpu_milli >= 0 && room.memory_mb >= 0 &&
-           room.accelerators >= 0 && owner_target_room_known(target, now);
+           room.accelerators >= 0 && owner_target_capacity_known(target, now);
 }
 
 /* False if there is no more need for the order. */
@@ -317,13 +319,13 @@
     if (run->stopping) {
         return false;
     }
-    if (!owner_target_takes_work(run->target)) {
+    if (!owner_target_accepts_work(run->target)) {
         owner_cordon_log(order->owner, run, now);
         fall_back(order->owner, run);
         return false;
     }
     if (!has_room_still(run->target, now) ||
-        (run->phase == RUN_READY && run->target->silent > 0))
+        (run->phase == RUN_READY && run->target->unanswered_polls > 0))
     {
         /* It would be refused, or would crowd the worker, or wait there. */
         fall_back(order->owner, run);
@@ -358,13 +360,15 @@
     if (!owner_cordons_known(target->owner, now, next)) {
         return true;
     }
-    if ((target->note != OWNER_NOTE_NONE || owner_tombstone_pending(target)) &&
-        target->silent == 0)
+    if ((target->lease_note != OWNER_LEASE_NOTE_NONE ||
+         owner_tombstone_pending(target)) &&
+        target->unanswered_polls == 0)
     {
         return true;
     }
-    if (!owner_lease_clock_is_fresh(target, now) && target->silent == 0) {
-        cw_time_earlier(&target->hold_due, now);
+    if (!owner_lease_clock_is_fresh(target, now) &&
+        target->unanswered_polls == 0) {
+        cw_time_earlier(&target->poll_due, now);
         return true;
     }
     if (run->phase != RUN_STARTING) {
@@ -374,9 +378,9 @@
         cw_time_earlier(next, order->due);
         return true;
     }
-    return target->silent > 0 ||
+    return target->unanswered_polls > 0 ||
            (owner_task_job(run->task)->spec->once &&
-            !cw_time_before(run->sent_at, target->seen_at));
+            !cw_time_before(run->sent_at, target->answered_poll_sent_at));
 }
 
 /* End of lease to send with a start.  One that is sent again gives what the
@@ -385,12 +389,12 @@
 start_lease(struct owner_target *target, const struct owner_run *run,
             struct timespec now)
 {
-    if (run->unanswered > 0 && target->life.born_ms == 0 &&
-        target->life.lease_sent_ms > 0)
+    if (run->unanswered > 0 && target->incarnation.boot_ms == 0 &&
+        target->incarnation.lease_sent_ms > 0)
     {
-        return target->life.lease_sent_ms;
+        return target->incarnation.lease_sent_ms;
     }
-    return owner_target_lease(target, CW_ORDER_START, now);
+    return owner_lease_grant(target, CW_ORDER_START, now);
 }
 
 static void
@@ -416,10 +420,10 @@
         out.payload = owner_task_job(run->task)->spec->payload;
         out.saved = run->task->saved;
         run->phase = RUN_STARTING;
-        run->born_ms = target->life.born_ms;
+        run->boot_ms = target->incarnation.boot_ms;
         run->sent_at = now;
         cw_count_add(owner->options.counters, CW_COUNT_STARTS, 1);
-        cw_time_earlier(&target->hold_due, now);
+        cw_time_earlier(&target->poll_due, now);
     }
     target->orders_in_flight++;
     order->sent = now;
@@ -471,10 +475,10 @@
 {
     unsigned targets = MAX(1, g_hash_table_size(owner->targets));
 
-    if (owner->options.connections == 0) {
+    if (owner->options.connections_max == 0) {
         return ORDERS_IN_FLIGHT;
     }
-    return CLAMP(owner->options.connections / targets, LOOKS_IN_FLIGHT + 1,
+    return CLAMP(owner->options.connections_max / targets, LOOKS_IN_FLIGHT + 1,
                  LOOKS_IN_FLIGHT + ORDERS_IN_FLIGHT) -
            LOOKS_IN_FLIGHT;
 }
@@ -500,7 +504,7 @@
             g_queue_push_tail(&waiting, order);
             continue;
         }
-        if (target->gone || target->address[0] == '\0') {
+        if (target->superseded || target->address[0] == '\0') {
             drop_unsent(order, now);
             continue;
         }
--- a/src/owner/owner_place.c
+++ b/src/owner/owner_place.c
@@ -68,11 +68,12 @@
             left--;
         }
     }
-    owner_job_touch(owner, step->occurrence->job);
+    owner_job_mark_dirty(owner, step->occurrence->job);
 }
 
 GArray *
-owner_choose(const GArray *candidates, const char *rack, unsigned tasks)
+owner_choose_targets(const GArray *candidates, const char *rack,
+                     unsigned tasks)
 {
     GArray *choices = g_array_new(FALSE, FALSE, sizeof(struct owner_choice));
 
@@ -95,10 +96,11 @@
 
 /* True if a rack could hold the whole gang if nothing else ran there. */
 static bool
-rack_could_hold(const struct cw_owner *owner, const struct owner_step *step)
+rack_can_hold(const struct cw_owner *owner, const struct owner_step *step)
 {
-    struct cw_resources need = owner_need(step->spec);
-    unsigned *racks = g_new0(unsigned, owner->rack_hosts->len);
+    struct cw_resources need = owner_step_need(step->spec);
+    unsigned *racks =
+        g_new0(unsigned, owner->rack_lower_priority_workers->len);
     GHashTableIter iterator;
     gpointer value;
     bool could = false;
@@ -109,10 +111,11 @@
         unsigned fits;
 
         if (!target->listed || target->draining ||
-            !owner_may_run(step, target)) {
+            !owner_step_allows_target(step, target))
+        {
             continue;
         }
-        fits = owner_fits(&target->capacity, &need);
+        fits = owner_fit_count(&target->capacity, &need);
         racks[target->rack_number] += fits;
         could = racks[target->rack_number] >= step->count;
     }
@@ -127,13 +130,13 @@
     if (!step->spec->same_rack) {
         return false;
     }
-    if (step->racks_seen.tv_sec == 0 ||
-        cw_time_diff_ms(step->racks_seen, now) > RACKS_SEEN_MS)
+    if (step->rack_checked_at.tv_sec == 0 ||
+        cw_time_diff_ms(step->rack_checked_at, now) > RACKS_SEEN_MS)
     {
-        step->racks_seen = now;
-        step->rack_could_hold = rack_could_hold(owner, step);
+        step->rack_checked_at = now;
+        step->rack_can_hold = rack_can_hold(owner, step);
     }
-    return step->rack_could_hold;
+    return step->rack_can_hold;
 }
 
 static bool
@@ -146,10 +149,10 @@
     bool spread = !owner_step_needs_rack(owner, step, now);
 
     if (rack != NULL) {
-        choices = owner_choose(candidates, rack, step->count);
+        choices = owner_choose_targets(candidates, rack, step->count);
     }
-    else if (spread && owner_total_fits(candidates) >= step->count) {
-        choices = owner_choose_spread(candidates, step->count);
+    else if (spread && owner_total_fit_count(candidates) >= step->count) {
+        choices = owner_choose_by_dc(candidates, step->count);
     }
     if (choices != NULL) {
         owner_assign(owner, step, choices, RUN_NEW);
@@ -165,24 +168,24 @@
             struct timespec now)
 {
     GArray *candidates = owner_candidates(owner, step, now);
-    unsigned waiting = owner_step_waiting(step);
+    unsigned waiting = owner_step_waiting_tasks(step);
     GArray *choices;
     unsigned placed = 0;
 
     if (step->spec->data_rack[0] != '\0') {
         GArray *near =
-            owner_choose(candidates, step->spec->data_rack, waiting);
+            owner_choose_targets(candidates, step->spec->data_rack, waiting);
 
         owner_assign(owner, step, near, RUN_NEW);
         g_array_unref(near);
         g_array_unref(candidates);
-        waiting = owner_step_waiting(step);
+        waiting = owner_step_waiting_tasks(step);
         if (waiting == 0) {
             return true;
         }
         candidates = owner_candidates(owner, step, now);
     }
-    choices = owner_choose(candidates, NULL, waiting);
+    choices = owner_choose_targets(candidates, NULL, waiting);
     for (guint i = 0; i < choices->len; i++) {
         placed += g_array_index(choices, struct owner_choice, i).tasks;
     }
@@ -195,7 +198,7 @@
 }
 
 bool
-owner_step_has_turn(const struct owner_step *step)
+owner_step_is_unblocked(const struct owner_step *step)
 {
     const struct owner_occurrence *occurrence = step->occurrence;
 
@@ -211,12 +214,13 @@
 }
 
 bool
-owner_step_wants_place(const struct owner_step *step, struct timespec now)
+owner_step_needs_placement(const struct owner_step *step, struct timespec now)
 {
-    if (!owner_step_has_turn(step) || owner_step_is_held_back(step, now)) {
+    if (!owner_step_is_unblocked(step) || owner_step_is_delayed(step, now)) {
         return false;
     }
-    return step->spec->gang ? step->runs == 0 : owner_step_waiting(step) > 0;
+    return step->spec->gang ? step->runs == 0
+                            : owner_step_waiting_tasks(step) > 0;
 }
 
 /* Gives up places whose present users do not leave: the step is placed anew
@@ -253,7 +257,7 @@
             struct owner_step *step = &occurrence->steps[k];
 
             drop_stale_reservations(owner, step, now);
-            if (owner_step_wants_place(step, now)) {
+            if (owner_step_needs_placement(step, now)) {
                 if (!step->ready) {
                     step->ready = true;
                     step->ready_at = now;
@@ -276,10 +280,10 @@
     if (x->spec->priority != y->spec->priority) {
         return x->spec->priority < y->spec->priority ? -1 : 1;
     }
-    if (cw_time_before(x->objective, y->objective)) {
+    if (cw_time_before(x->objective_at, y->objective_at)) {
         return -1;
     }
-    return cw_time_before(y->objective, x->objective)
+    return cw_time_before(y->objective_at, x->objective_at)
                ? 1
                : strcmp(x->spec->id, y->spec->id);
 }
@@ -294,10 +298,10 @@
 reclaim_step(struct cw_owner *owner, struct owner_step *step,
              struct timespec now)
 {
-    if (!owner_memo_hopeless(owner, step, OWNER_ATTEMPT_RECLAIM, now) &&
-        !owner_reclaim(owner, step, now))
+    if (!owner_memo_has_failed(owner, step, OWNER_ATTEMPT_PREEMPT, now) &&
+        !owner_preempt(owner, step, now))
     {
-        owner_memo_failed(owner, step, OWNER_ATTEMPT_RECLAIM, now);
+        owner_memo_add_failure(owner, step, OWNER_ATTEMPT_PREEMPT, now);
     }
 }
 
@@ -307,46 +311,46 @@
 {
     bool urgent = is_urgent(step);
 
-    if (!owner_step_wants_place(step, now) ||
-        !owner_pace_allows(&owner->pace, urgent))
+    if (!owner_step_needs_placement(step, now) ||
+        !owner_order_window_allows(&owner->order_window, urgent))
     {
         return; /* placed as starved; or with the next pass, or later */
     }
-    if (step->tried_at == owner->room_version && !urgent &&
-        cw_time_diff_ms(step->tried_time, now) < TRY_AGAIN_MS)
+    if (step->tried_capacity_version == owner->capacity_version && !urgent &&
+        cw_time_diff_ms(step->tried_at, now) < TRY_AGAIN_MS)
     {
         return; /* nothing has come free since */
     }
-    if (!owner_once_may_begin(owner, step)) {
-        step->tried_at = owner->room_version;
-        step->tried_time = now;
+    if (!owner_at_most_once_may_start(owner, step)) {
+        step->tried_capacity_version = owner->capacity_version;
+        step->tried_at = now;
         return;
     }
-    if (!owner_memo_hopeless(owner, step, OWNER_ATTEMPT_PLACE, now)) {
+    if (!owner_memo_has_failed(owner, step, OWNER_ATTEMPT_PLACE, now)) {
         if (step->spec->gang ? place_gang(owner, step, now)
                              : place_tasks(owner, step, now))
         {
             return;
         }
-        owner_memo_failed(owner, step, OWNER_ATTEMPT_PLACE, now);
+        owner_memo_add_failure(owner, step, OWNER_ATTEMPT_PLACE, now);
     }
-    step->tried_at = owner->room_version;
-    step->tried_time = now;
-    if (urgent && owner_starved_place_one(owner, step, now)) {
+    step->tried_capacity_version = owner->capacity_version;
+    step->tried_at = now;
+    if (urgent && owner_place_starved_step(owner, step, now)) {
         return; /* else it could wait for others to leave for ever */
     }
     if (urgent) {
         reclaim_step(owner, step, now);
     }
-    else if (step->spec->gang && owner->holds < HOLDS_MOST &&
+    else if (step->spec->gang && owner->rack_reservations < HOLDS_MOST &&
              cw_time_diff_ms(step->ready_at, now) > HOLD_AFTER_MS)
     {
-        owner_hold_rack(owner, step, now);
+        owner_reserve_rack(owner, step, now);
     }
 }
 
 void
-owner_place(struct cw_owner *owner, struct timespec now)
+owner_placement_pass(struct cw_owner *owner, struct timespec now)
 {
     GPtrArray *steps = g_ptr_array_new();
     guint next = 0;
@@ -358,15 +362,15 @@
         collect_steps(owner, value, steps, now);
     }
     g_ptr_array_sort(steps, by_urgency);
-    owner->holds = 0;
-    owner_memo_begin(owner->memo);
-    owner_open_begin(owner->open, steps);
+    owner->rack_reservations = 0;
+    owner_memo_reset(owner->memo);
+    owner_available_reset(owner->open, steps);
     owner_demand_update(owner);
     owner_headroom_update(owner, now);
     for (; next < steps->len && is_urgent(steps->pdata[next]); next++) {
         place_step(owner, steps->pdata[next], now);
     }
-    owner_starved_place(owner, steps, now);
+    owner_place_starved_steps(owner, steps, now);
     for (; next < steps->len; next++) {
         place_step(owner, steps->pdata[next], now);
     }
--- a/src/owner/owner_holds.c
+++ b/src/owner/owner_polls.c
@@ -46,7 +46,7 @@
     struct owner_target *target;
     struct timespec sent;
     bool idle;       /* a look at a worker without runs */
-    int64_t born_ms; /* of the life that it was sent to, as far as known */
+    int64_t boot_ms; /* of the life that it was sent to, as far as known */
     uint64_t acked;  /* ends that it confirms, up to this number */
 };
 
@@ -56,25 +56,25 @@
 note_progress(struct owner_run *run, const struct cw_running *listed,
               struct timespec now)
 {
-    if (run->phase == RUN_STARTING || run->phase == RUN_UNSURE) {
+    if (run->phase == RUN_STARTING || run->phase == RUN_INHERITED) {
         run->phase = RUN_RUNNING;
         run->started_at = now;
         run->progress_at = now;
         run->saved_at = now;
-        owner_job_begun(run->target->owner, owner_task_job(run->task),
-                        run->target);
+        owner_job_start_confirmed(run->target->owner,
+                                  owner_task_job(run->task), run->target);
     }
     owner_idle_end(run->target->owner, owner_task_job(run->task));
-    run->born_ms = run->target->life.born_ms;
+    run->boot_ms = run->target->incarnation.boot_ms;
     if (listed->percent != run->percent) {
         run->percent = listed->percent;
         run->progress_at = now;
     }
-    owner_crashes_note(run, now);
+    owner_crashes_observe(run, now);
     if (listed->saved[0] != '\0') {
         run->saved_at = now;
         /* For a worker that is lost without another word. */
-        owner_task_keep(run->task, listed->saved);
+        owner_task_save_checkpoint(run->task, listed->saved);
     }
 }
 
@@ -100,7 +100,7 @@
 {
     const struct owner_task *task = owner_task_find(owner, &listed->task);
 
-    return task != NULL ? owner_need(task->step->spec) : target->capacity;
+    return task != NULL ? owner_step_need(task->step->spec) : target->capacity;
 }
 
 /* Stops what runs there without being wanted: an order that was carried out
@@ -145,7 +145,7 @@
 absence_counts(const struct owner_run *run, struct timespec sent)
 {
     switch (run->phase) {
-    case RUN_UNSURE:
+    case RUN_INHERITED:
         return true;
     case RUN_RUNNING:
         return cw_time_before(run->started_at, sent);
@@ -161,10 +161,10 @@
  * one that was not confirmed is absent, it was never begun, but only by the
  * life that answers. */
 static bool
-may_have_worked(const struct owner_run *run, int64_t born_ms)
+may_have_worked(const struct owner_run *run, int64_t boot_ms)
 {
     return run->phase == RUN_RUNNING ||
-           (born_ms > 0 && run->born_ms != born_ms);
+           (boot_ms > 0 && run->boot_ms != boot_ms);
 }
 
 /* Runs that the worker does not list and that cannot be there any more.  Those
@@ -185,9 +185,9 @@
     for (guint i = 0; i < absent->len; i++) {
         struct owner_run *run = absent->pdata[i];
 
-        if (owner_run_is_of_another(run, answer->born_ms)) {
+        if (owner_run_is_of_other_incarnation(run, answer->boot_ms)) {
             owner_crashes_collect(run, owner_now(owner));
-            owner_life_add_tombstone(run);
+            owner_incarnation_add_tombstone(run);
         }
     }
     for (guint i = 0; i < absent->len; i++) {
@@ -195,14 +195,15 @@
 
         /* Losing one member of a gang may have dropped another. */
         if (g_ptr_array_find(target->runs, run, NULL)) {
-            owner_run_lost(owner, run, may_have_worked(run, answer->born_ms),
-                           owner_run_is_of_another(run, answer->born_ms)
-                               ? "other_life"
-                               : "not_listed");
+            owner_run_lost(
+                owner, run, may_have_worked(run, answer->boot_ms),
+                owner_run_is_of_other_incarnation(run, answer->boot_ms)
+                    ? "other_life"
+                    : "not_listed");
         }
     }
     g_ptr_array_unref(absent);
-    owner_crashes_proved(owner, target, answer->born_ms);
+    owner_crashes_confirmed(owner, target, answer->boot_ms);
 }
 
 static bool
@@ -221,16 +222,17 @@
     uint64_t first = answer->ended_count > 0 ? answer->ended[0].number : 0;
 
     /* Earlier owners have confirmed what they had stored. */
-    if (target->life.ends_applied == 0 ||
-        first <= target->life.ends_applied + 1) {
+    if (target->incarnation.ends_applied == 0 ||
+        first <= target->incarnation.ends_applied + 1)
+    {
         return;
     }
     cw_log_warning(
         "ends_missing",
         "worker=%s applied=%" PRIu64 " first=%" PRIu64 " born_ms=%" PRId64,
-        target->id, target->life.ends_applied, first, answer->born_ms);
+        target->id, target->incarnation.ends_applied, first, answer->boot_ms);
     cw_count_add(owner->options.counters, CW_COUNT_ENDS_MISSING,
-                 first - target->life.ends_applied - 1);
+                 first - target->incarnation.ends_applied - 1);
 }
 
 static void
@@ -247,7 +249,7 @@
         if (run != NULL) {
             note_progress(run, &answer->running[i], now);
             /* May stop the run's gang, but drops nothing that was sent. */
-            owner_speed_note(owner, run, answer->running[i].percent, now);
+            owner_speed_observe(owner, run, answer->running[i].percent, now);
         }
         else {
             stop_orphan(owner, target, &answer->running[i]);
@@ -257,10 +259,10 @@
     for (size_t i = 0; i < answer->ended_count; i++) {
         const struct cw_ended *ended = &answer->ended[i];
 
-        if (ended->number > target->life.ends_applied) {
-            target->life.ends_applied = ended->number;
-            owner_target_has_ends(target);
-            owner_hints_note(target, ended);
+        if (ended->number > target->incarnation.ends_applied) {
+            target->incarnation.ends_applied = ended->number;
+            owner_target_ends_applied(target);
+            owner_hints_add_end(target, ended);
             owner_run_ended(owner, target, ended);
         }
     }
@@ -268,9 +270,9 @@
         drop_absent(owner, target, answer, sent);
     }
     if (had_orphans && !has_orphans(target)) {
-        owner->room_version++;
-        owner->place_wanted = true;
-        owner_runs_settle(owner, target);
+        owner->capacity_version++;
+        owner->placement_wanted = true;
+        owner_runs_promote_reserved(owner, target);
     }
 }
 
@@ -312,7 +314,7 @@
     const struct cw_step_spec *spec = run->task->step->spec;
     struct cw_progress progress = {
         .percent = run->percent,
-        .still_ms = cw_time_diff_ms(run->progress_at, now),
+        .unchanged_ms = cw_time_diff_ms(run->progress_at, now),
         .ms_per_percent = run->best_rate > 0
                               ? CW_MS_PER_S / run->best_rate
                               : (double)spec->estimate_ms / CW_PERCENT_DONE,
@@ -331,7 +333,7 @@
         struct owner_run *run = target->runs->pdata[i];
         struct owner_step *step = run->task->step;
 
-        if (run->phase != RUN_RUNNING || run->stopping || run->finished ||
+        if (run->phase != RUN_RUNNING || run->stopping || run->gang_done ||
             step->spec->endless || !run_is_stalled(run, now) ||
             (step->spec->gang && !gang_is_whole(step)))
         {
@@ -342,8 +344,8 @@
                     owner_task_job(run->task)->spec->id,
                     step->occurrence->number, step->number, run->task->index,
                     run->number, target->id, run->percent);
-        owner_target_blame(target, run->task, now);
-        owner_run_displace(owner, run, OWNER_IDLE_STALLED);
+        owner_target_add_failure(target, run->task, now);
+        owner_run_evict_for(owner, run, OWNER_IDLE_STALLED);
         return; /* the table of runs may have changed */
     }
 }
@@ -356,29 +358,30 @@
 {
     struct cw_task_name name = owner_task_name(run->task);
 
-    cw_log_info("place_given_up",
+    cw_log_info("placement_abandoned",
                 "id=%s task=%u.%u.%u run=%u worker=%s phase=%s silent=%u "
                 "age_ms=%" PRId64,
                 name.job, name.occurrence, name.step, name.index, run->number,
                 run->target->id, owner_run_phase_name(run->phase),
-                run->target->silent, cw_time_diff_ms(run->created_at, now));
+                run->target->unanswered_polls,
+                cw_time_diff_ms(run->created_at, now));
 }
 
 static void
 hold_failed(struct owner_target *target, enum cw_target_status status,
             struct timespec now)
 {
-    if (target->silent == 0) {
+    if (target->unanswered_polls == 0) {
         cw_log_info("worker_silent", "worker=%s status=%s runs=%u", target->id,
                     cw_target_status_name(status), target->runs->len);
-        target->silent_since = now;
-        owner_life_unsure(target);
+        target->unresponsive_since = now;
+        owner_incarnation_unresponsive(target);
     }
-    target->silent++;
-    target->hold_due = cw_time_add_ms(now, HOLD_RETRY_MS);
-    owner_life_unanswered(target);
-    if (target->silent == PLACES_SILENT) {
-        owner_places_give_up(target->owner, target, log_place_given_up);
+    target->unanswered_polls++;
+    target->poll_due = cw_time_add_ms(now, HOLD_RETRY_MS);
+    owner_incarnation_poll_failed(target);
+    if (target->unanswered_polls == PLACES_SILENT) {
+        owner_unsent_runs_give_up(target->owner, target, log_place_given_up);
     }
 }
 
@@ -386,9 +389,9 @@
 static void
 note_confirmed(struct owner_target *target, const struct hold_call *call)
 {
-    if (target->life.born_ms == call->born_ms) {
-        target->life.ends_confirmed =
-            MAX(target->life.ends_confirmed, call->acked);
+    if (target->incarnation.boot_ms == call->boot_ms) {
+        target->incarnation.ends_confirmed =
+            MAX(target->incarnation.ends_confirmed, call->acked);
     }
 }
 
@@ -415,26 +418,27 @@
 {
     struct owner_target *target = call->target;
 
-    if (target->silent > 0) {
-        cw_log_info("worker_back", "worker=%s silent=%u", target->id,
-                    target->silent);
-        target->silent = 0;
-        owner->place_wanted = true;
+    if (target->unanswered_polls > 0) {
+        cw_log_info("worker_responsive", "worker=%s silent=%u", target->id,
+                    target->unanswered_polls);
+        target->unanswered_polls = 0;
+        owner->placement_wanted = true;
     }
-    if (!owner_life_answered(target, answer->born_ms)) {
+    if (!owner_incarnation_answered(target, answer->boot_ms)) {
         note_confirmed(target, call);
     }
-    owner_crashes_heard(owner, target, answer->born_ms);
-    owner_target_clock(target, answer->clock_ms, now);
-    owner_lease_seen(target, now);
+    owner_crashes_answered(owner, target, answer->boot_ms);
+    owner_target_set_clock(target, answer->clock_ms, now);
+    owner_lease_token_seen(target, now);
     target->answered = true;
-    target->seen_at = call->sent;
-    target->life.heard_at = now;
+    target->answered_poll_sent_at = call->sent;
+    target->incarnation.poll_answered_at = now;
     /* Where a note is dropped, a look follows at once when that is stored. */
-    target->hold_due = cw_time_add_ms(
-        now, decides_runs(target) || target->note != OWNER_NOTE_NONE
-                 ? HOLD_PACE_UNSURE_MS
-                 : HOLD_PACE_MS);
+    target->poll_due =
+        cw_time_add_ms(now, decides_runs(target) ||
+                                    target->lease_note != OWNER_LEASE_NOTE_NONE
+                                ? HOLD_PACE_UNSURE_MS
+                                : HOLD_PACE_MS);
     take_lists(owner, target, answer, call->sent, now);
     check_stalls(owner, target, now);
 }
@@ -451,18 +455,18 @@
         g_free(call);
         return;
     }
-    target->hold_in_flight = false;
+    target->poll_in_flight = false;
     owner_target_wake(target);
-    owner->idle_looks -= call->idle;
+    owner->idle_polls_in_flight -= call->idle;
     switch (answer->status) {
     case CW_TARGET_OK:
         hold_answered(owner, call, answer, now);
         break;
     case CW_TARGET_FENCED:
-        owner_depose(owner, "fenced_by_worker");
+        owner_drop_ownership(owner, "fenced_by_worker");
         break;
-    case CW_TARGET_OTHER_LIFE:
-        target->gone = true;
+    case CW_TARGET_OTHER_INCARNATION:
+        target->superseded = true;
         owner_target_lost(owner, target, "other_life");
         break;
     default:
@@ -482,7 +486,8 @@
 static bool
 has_unconfirmed(const struct owner_target *target)
 {
-    return target->life.ends_durable > target->life.ends_confirmed;
+    return target->incarnation.ends_durable >
+           target->incarnation.ends_confirmed;
 }
 
 /* The number up to which the next look confirms ends.
@@ -495,14 +500,16 @@
 static uint64_t
 number_to_confirm(const struct owner_target *target, struct timespec now)
 {
-    const struct owner_life *life = &target->life;
+    const struct owner_incarnation *incarnation = &target->incarnation;
 
-    if (!has_unconfirmed(target) || !target->answered || target->silent > 0 ||
-        cw_time_diff_ms(life->heard_at, now) > CONFIRM_WITHIN_MS)
+    if (!has_unconfirmed(target) || !target->answered ||
+        target->unanswered_polls > 0 ||
+        cw_time_diff_ms(incarnation->poll_answered_at, now) >
+            CONFIRM_WITHIN_MS)
     {
         return 0;
     }
-    return life->ends_durable;
+    return incarnation->ends_durable;
 }
 
 /* A first look, one after a silence, one that decides what becomes of a run,
@@ -513,14 +520,15 @@
 look_wait_ms(const struct cw_owner *owner, const struct owner_target *target,
              uint64_t acked)
 {
-    const struct owner_life *life = &target->life;
-    bool blocked = life->ends_applied > life->ends_durable ||
+    const struct owner_incarnation *incarnation = &target->incarnation;
+    bool blocked = incarnation->ends_applied > incarnation->ends_durable ||
                    (has_unconfirmed(target) && acked == 0);
     bool waits = target->runs->len > 0 || has_orphans(target);
 
     /* Without an extended lease it has no time to wait. */
-    return blocked || !target->answered || target->silent > 0 || !waits ||
-                   target->note != OWNER_NOTE_NONE || decides_runs(target)
+    return blocked || !target->answered || target->unanswered_polls > 0 ||
+                   !waits || target->lease_note != OWNER_LEASE_NOTE_NONE ||
+                   decides_runs(target)
                ? 0
                : hold_wait_ms(owner);
 }
@@ -535,16 +543,16 @@
     /* A first look extends no lease: if it is over, the worker has to notice,
      * so that an earlier owner's word on lost runs holds.  Nor does one after
      * a silence, as another life may answer. */
-    bool extends = target->answered && target->silent == 0 &&
-                   target->note == OWNER_NOTE_NONE &&
+    bool extends = target->answered && target->unanswered_polls == 0 &&
+                   target->lease_note == OWNER_LEASE_NOTE_NONE &&
                    !owner_tombstone_pending(target);
     struct cw_target_order order = {
-        .kind = CW_ORDER_HOLD,
+        .kind = CW_ORDER_POLL,
         .address = target->address,
         .id = target->id,
         .fence = owner->epoch,
         .lease_until_ms =
-            extends ? owner_target_lease(target, CW_ORDER_HOLD, now) : 0,
+            extends ? owner_lease_grant(target, CW_ORDER_POLL, now) : 0,
         .acked = acked,
         .wait_ms = wait_ms,
         .timeout_ms = wait_ms + HOLD_TIMEOUT_MS,
@@ -557,20 +565,21 @@
     call->target = target;
     call->sent = now;
     call->idle = target->runs->len == 0;
-    call->born_ms = target->life.born_ms;
+    call->boot_ms = target->incarnation.boot_ms;
     call->acked = acked;
-    owner->idle_looks += call->idle;
-    target->hold_in_flight = true;
-    target->hold_sent = now;
+    owner->idle_polls_in_flight += call->idle;
+    target->poll_in_flight = true;
+    target->poll_sent_at = now;
     owner->options.targets->ops->order(owner->options.targets, &order);
 }
 
 static bool
 may_have_orphans(const struct owner_target *target, struct timespec now)
 {
-    return cw_time_diff_ms(target->owner->began, now) < IDLE_LOOKS_MS ||
-           (target->busy_at.tv_sec > 0 &&
-            cw_time_diff_ms(target->busy_at, now) < IDLE_LOOKS_MS);
+    return cw_time_diff_ms(target->owner->takeover_began_at, now) <
+               IDLE_LOOKS_MS ||
+           (target->last_busy_at.tv_sec > 0 &&
+            cw_time_diff_ms(target->last_busy_at, now) < IDLE_LOOKS_MS);
 }
 
 /* True if work may be sent there: its service is one that is configured. */
@@ -581,27 +590,30 @@
 
     return target->listed &&
            (routing == NULL || routing->services->len == 0 ||
-            cw_routing_service(routing, target->service) != NULL);
+            cw_routing_service_by_name(routing, target->service) != NULL);
 }
 
 static bool
 wants_hold(const struct owner_target *target, struct timespec now)
 {
-    if (target->gone || target->address[0] == '\0') {
+    if (target->superseded || target->address[0] == '\0') {
         return false;
     }
-    if (is_of_use(target) && (!target->life.clock_known || !target->answered ||
-                              may_have_orphans(target, now)))
+    if (is_of_use(target) &&
+        (!target->incarnation.clock_known || !target->answered ||
+         may_have_orphans(target, now)))
     {
         return true;
     }
     return target->runs->len > 0 ||
-           target->life.ends_applied > target->life.ends_in_batch ||
-           target->life.ends_in_batch > target->life.ends_durable ||
+           target->incarnation.ends_applied >
+               target->incarnation.ends_in_batch ||
+           target->incarnation.ends_in_batch >
+               target->incarnation.ends_durable ||
            /* One that has left for good is not asked for ever. */
            (has_unconfirmed(target) &&
-            (target->listed || target->silent == 0)) ||
-           (target->silent > 0 && is_of_use(target));
+            (target->listed || target->unanswered_polls == 0)) ||
+           (target->unanswered_polls > 0 && is_of_use(target));
 }
 
 /* Time between two looks at an idle worker. */
@@ -619,14 +631,15 @@
 static void
 lease_over(struct cw_owner *owner, struct owner_target *target)
 {
-    bool answers = target->silent == 0 && target->address[0] != '\0';
+    bool answers = target->unanswered_polls == 0 && target->address[0] != '\0';
 
     if (!answers) {
         owner_target_lost(owner, target, "lease_over");
     }
-    else if (cw_time_before(target->seen_at, target->lease_end)) {
+    else if (cw_time_before(target->answered_poll_sent_at, target->lease_end))
+    {
         target->answered = false; /* the next hold is a first look */
-        target->hold_due = cw_time_from_ms(0);
+        target->poll_due = cw_time_from_ms(0);
     }
 }
 
@@ -635,24 +648,25 @@
 look_tick(struct cw_owner *owner, struct owner_target *target,
           struct timespec now)
 {
-    struct timespec due = target->hold_due;
+    struct timespec due = target->poll_due;
 
-    if (target->hold_in_flight || !wants_hold(target, now) ||
-        !owner_may_extend(owner, now))
+    if (target->poll_in_flight || !wants_hold(target, now) ||
+        !owner_may_extend_leases(owner, now))
     {
         return cw_time_from_ms(INT32_MAX);
     }
-    if (target->runs->len == 0 && owner->idle_looks >= IDLE_LOOKS_MOST) {
+    if (target->runs->len == 0 &&
+        owner->idle_polls_in_flight >= IDLE_LOOKS_MOST) {
         return cw_time_add_ms(now, IDLE_RETRY_MS);
     }
-    if (target->runs->len == 0 && target->silent == 0 && target->answered &&
-        !has_orphans(target) && !has_unconfirmed(target))
+    if (target->runs->len == 0 && target->unanswered_polls == 0 &&
+        target->answered && !has_orphans(target) && !has_unconfirmed(target))
     {
-        due = cw_time_add_ms(target->hold_sent, idle_look_ms(owner));
+        due = cw_time_add_ms(target->poll_sent_at, idle_look_ms(owner));
     }
-    if (target->life.ends_applied > target->life.ends_durable) {
+    if (target->incarnation.ends_applied > target->incarnation.ends_durable) {
         /* Without it the worker would answer at once with the same ends. */
-        due = cw_time_add_ms(target->hold_sent, HOLD_BLOCKED_MS);
+        due = cw_time_add_ms(target->poll_sent_at, HOLD_BLOCKED_MS);
     }
     if (!cw_time_before(now, due)) {
         send_hold(owner, target, now);
@@ -662,7 +676,7 @@
 }
 
 struct timespec
-owner_hold_tick(struct cw_owner *owner, struct owner_target *target,
+owner_poll_tick(struct cw_owner *owner, struct owner_target *target,
                 struct timespec now)
 {
     struct timespec next;
--- a/src/owner/owner_reclaim.c
+++ b/src/owner/owner_preempt.c
@@ -84,11 +84,12 @@
 }
 
 bool
-owner_guaranteed(const struct cw_owner *owner, const struct owner_job *job)
+owner_job_is_guaranteed(const struct cw_owner *owner,
+                        const struct owner_job *job)
 {
     const struct cw_account *account =
         owner->routing != NULL
-            ? cw_routing_account_named(owner->routing, job->spec->account)
+            ? cw_routing_account_by_name(owner->routing, job->spec->account)
             : NULL;
 
     return account != NULL && GPOINTER_TO_SIZE(g_hash_table_lookup(
@@ -101,20 +102,20 @@
 step_is_protected(const struct owner_run *run)
 {
     const struct owner_step *step = run->task->step;
-    bool protects = owner_once_protects(run);
+    bool protects = owner_at_most_once_protects(run);
 
     for (unsigned i = 0; step->spec->gang && !protects && i < step->count; i++)
     {
         protects = step->tasks[i].run != NULL &&
-                   owner_once_protects(step->tasks[i].run);
+                   owner_at_most_once_protects(step->tasks[i].run);
     }
     return protects;
 }
 
 bool
-owner_run_may_leave(const struct owner_run *run)
+owner_run_may_be_stopped(const struct owner_run *run)
 {
-    return !run->stopping && !run->finished && !step_is_protected(run);
+    return !run->stopping && !run->gang_done && !step_is_protected(run);
 }
 
 /* Lower work gives way; equally urgent work does only if its account holds
@@ -126,19 +127,19 @@
 
     return job->spec->priority > priority ||
            (plan->guaranteed && job->spec->priority == priority &&
-            !owner_guaranteed(plan->owner, job));
+            !owner_job_is_guaranteed(plan->owner, job));
 }
 
 static bool
 may_stop(const struct plan *plan, const struct owner_run *run)
 {
-    return owner_run_may_leave(run) &&
+    return owner_run_may_be_stopped(run) &&
            gives_way(plan, owner_task_job(run->task)) &&
-           !owner_lasting_protects(run, plan->gone);
+           !owner_endless_protects(run, plan->gone);
 }
 
 double
-owner_run_cost(const struct owner_run *run, struct timespec now)
+owner_run_stop_cost(const struct owner_run *run, struct timespec now)
 {
     const struct cw_step_spec *spec = run->task->step->spec;
     double cores = (double)spec->cpu_milli / MILLI +
@@ -159,11 +160,11 @@
     double cost = 0;
 
     if (!step->spec->gang) {
-        return owner_run_cost(run, now);
+        return owner_run_stop_cost(run, now);
     }
     for (unsigned i = 0; i < step->count; i++) {
         if (step->tasks[i].run != NULL) {
-            cost += owner_run_cost(step->tasks[i].run, now);
+            cost += owner_run_stop_cost(step->tasks[i].run, now);
         }
     }
     return cost;
@@ -187,8 +188,8 @@
 {
     plan->owner = owner;
     plan->step = step;
-    plan->need = owner_need(step->spec);
-    plan->guaranteed = owner_guaranteed(owner, step->occurrence->job);
+    plan->need = owner_step_need(step->spec);
+    plan->guaranteed = owner_job_is_guaranteed(owner, step->occurrence->job);
     plan->gone = g_hash_table_new(NULL, NULL);
     plan->gangs = g_ptr_array_new();
     plan->singles = g_ptr_array_new();
@@ -211,7 +212,7 @@
 static void
 add_need(struct cw_resources *sum, const struct owner_run *run)
 {
-    struct cw_resources need = owner_need(run->task->step->spec);
+    struct cw_resources need = owner_step_need(run->task->step->spec);
 
     owner_resources_add(sum, &need);
 }
@@ -220,7 +221,7 @@
 static struct cw_resources
 room_after(const struct plan *plan, const struct owner_target *target)
 {
-    struct cw_resources room = owner_room(target);
+    struct cw_resources room = owner_free_resources(target);
 
     owner_resources_add(&room, &target->leaving);
     for (guint i = 0; i < target->runs->len; i++) {
@@ -238,8 +239,8 @@
 {
     struct cw_resources room = room_after(plan, target);
 
-    return owner_most_there(plan->step, target,
-                            owner_fits(&room, &plan->need));
+    return owner_limit_per_worker(plan->step, target,
+                                  owner_fit_count(&room, &plan->need));
 }
 
 static gint
@@ -305,8 +306,9 @@
 
         add_need(&room, v->run);
         cost += v->cost;
-        if (owner_most_there(plan->step, price->target,
-                             owner_fits(&room, &plan->need)) > price->fits)
+        if (owner_limit_per_worker(plan->step, price->target,
+                                   owner_fit_count(&room, &plan->need)) >
+            price->fits)
         {
             price->taken = i + 1;
             price->cost = cost;
@@ -478,16 +480,16 @@
     for (guint i = 0; i < plan->gangs->len; i++) {
         struct owner_step *gang = plan->gangs->pdata[i];
 
-        gang->occurrence->job->idle.cause = OWNER_IDLE_RECLAIMED;
+        gang->occurrence->job->idle.cause = OWNER_IDLE_PREEMPTED;
         owner_step_stop(owner, gang);
     }
     for (guint i = 0; i < plan->singles->len; i++) {
-        owner_run_displace(owner, plan->singles->pdata[i],
-                           OWNER_IDLE_RECLAIMED);
+        owner_run_evict_for(owner, plan->singles->pdata[i],
+                            OWNER_IDLE_PREEMPTED);
     }
     /* Victims that had not been sent yet left at once. */
     for (guint i = 0; i < targets->len; i++) {
-        owner_runs_settle(owner, targets->pdata[i]);
+        owner_runs_promote_reserved(owner, targets->pdata[i]);
     }
 }
 
@@ -508,7 +510,8 @@
         struct owner_target *target = value;
         GPtrArray *rack;
 
-        if (!owner_target_usable(target, now) || !owner_may_run(step, target))
+        if (!owner_target_usable(target, now) ||
+            !owner_step_allows_target(step, target))
         {
             continue;
         }
@@ -557,11 +560,11 @@
 }
 
 bool
-owner_reclaim(struct cw_owner *owner, struct owner_step *step,
+owner_preempt(struct cw_owner *owner, struct owner_step *step,
               struct timespec now)
 {
     GHashTable *racks = targets_by_rack(owner, step, now);
-    unsigned tasks = owner_step_waiting(step);
+    unsigned tasks = owner_step_waiting_tasks(step);
     GPtrArray *targets = NULL;
     struct plan plan;
     bool ok;
--- a/src/owner/owner_racks.c
+++ b/src/owner/owner_racks.c
@@ -19,12 +19,12 @@
 static void
 offer_add(struct rack_offer *offer, const struct owner_candidate *candidate)
 {
-    int speed = (int)(candidate->target->life.speed / SPEED_STEP);
+    int speed = (int)(candidate->target->incarnation.speed / OWNER_SPEED_STEP);
 
     offer->fits += candidate->fits;
     if (offer->left > 0) {
         offer->speed = MIN(offer->speed, speed);
-        offer->idle += owner_candidate_idle(candidate);
+        offer->idle += owner_candidate_is_idle(candidate);
         offer->left -= MIN(offer->left, candidate->fits);
     }
 }
@@ -71,7 +71,8 @@
 owner_best_rack(const struct cw_owner *owner, const GArray *candidates,
                 const struct owner_step *step, unsigned tasks)
 {
-    GArray *offers = offers_of(candidates, owner->rack_hosts->len, tasks);
+    GArray *offers =
+        offers_of(candidates, owner->rack_lower_priority_workers->len, tasks);
     const struct rack_offer *best = NULL;
     bool urgent = step->occurrence->job->spec->priority == 0;
     const char *rack;
@@ -100,19 +101,19 @@
 static unsigned
 fits_later(const struct owner_step *step, const struct owner_target *target)
 {
-    struct cw_resources need = owner_need(step->spec);
-    struct cw_resources room = owner_room(target);
+    struct cw_resources need = owner_step_need(step->spec);
+    struct cw_resources room = owner_free_resources(target);
     unsigned priority = step->occurrence->job->spec->priority;
 
     for (guint i = 0; i < target->runs->len; i++) {
         const struct owner_run *run = target->runs->pdata[i];
-        struct cw_resources taken = owner_need(run->task->step->spec);
+        struct cw_resources taken = owner_step_need(run->task->step->spec);
 
         if (owner_task_job(run->task)->spec->priority > priority) {
             owner_resources_add(&room, &taken);
         }
     }
-    return owner_most_there(step, target, owner_fits(&room, &need));
+    return owner_limit_per_worker(step, target, owner_fit_count(&room, &need));
 }
 
 /* The rack that will have most room for the gang, or NULL if none will have
@@ -121,7 +122,8 @@
 rack_to_hold(struct cw_owner *owner, const struct owner_step *step,
              struct timespec now)
 {
-    unsigned *racks = g_new0(unsigned, owner->rack_hosts->len);
+    unsigned *racks =
+        g_new0(unsigned, owner->rack_lower_priority_workers->len);
     const char *best = NULL;
     unsigned best_fits = step->count - 1;
     GHashTableIter iterator;
@@ -133,7 +135,8 @@
         unsigned fits;
 
         if (!owner_target_usable(target, now) ||
-            !owner_may_run(step, target) || owner_is_held(target, step, now) ||
+            !owner_step_allows_target(step, target) ||
+            owner_target_is_reserved(target, step, now) ||
             !owner_headroom_allows(owner, step, target, now))
         {
             continue;
@@ -150,31 +153,32 @@
 }
 
 void
-owner_hold_rack(struct cw_owner *owner, struct owner_step *step,
-                struct timespec now)
+owner_reserve_rack(struct cw_owner *owner, struct owner_step *step,
+                   struct timespec now)
 {
     GHashTableIter iterator;
     gpointer value;
     const char *rack;
 
-    if (owner_memo_hopeless(owner, step, OWNER_ATTEMPT_HOLD, now)) {
+    if (owner_memo_has_failed(owner, step, OWNER_ATTEMPT_RESERVE_RACK, now)) {
         return;
     }
     rack = rack_to_hold(owner, step, now);
     if (rack == NULL) {
-        owner_memo_failed(owner, step, OWNER_ATTEMPT_HOLD, now);
+        owner_memo_add_failure(owner, step, OWNER_ATTEMPT_RESERVE_RACK, now);
         return;
     }
-    owner->holds++;
-    step->holds_until = cw_time_add_ms(now, HOLD_MS);
+    owner->rack_reservations++;
+    step->rack_reservation_until = cw_time_add_ms(now, HOLD_MS);
     g_hash_table_iter_init(&iterator, owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct owner_target *target = value;
 
         if (target->rack == rack) {
-            target->held_for = step;
-            target->held_priority = step->occurrence->job->spec->priority;
-            target->held_until = cw_time_add_ms(now, HOLD_MS);
+            target->rack_reserved_for = step;
+            target->rack_reserved_priority =
+                step->occurrence->job->spec->priority;
+            target->rack_reserved_until = cw_time_add_ms(now, HOLD_MS);
         }
     }
 }
--- a/src/owner/owner_residency.c
+++ b/src/owner/owner_residency.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 bool
-owner_permits(const struct cw_owner *owner, const struct owner_job *job,
-              const char *dc)
+owner_dc_permitted(const struct cw_owner *owner, const struct owner_job *job,
+                   const char *dc)
 {
     const struct cw_work_spec *spec = job->spec;
     bool named = spec->dcs.dcs_len == 0;
@@ -13,8 +13,9 @@
     for (u_int i = 0; i < spec->dcs.dcs_len; i++) {
         named = named || strcmp(spec->dcs.dcs_val[i], dc) == 0;
     }
-    return named && (owner->routing == NULL ||
-                     cw_routing_permits(owner->routing, spec->account, dc));
+    return named &&
+           (owner->routing == NULL ||
+            cw_routing_account_permits_dc(owner->routing, spec->account, dc));
 }
 
 /* The run is where it may not be.  A job that must not be begun again ends;
@@ -30,11 +31,11 @@
                 job->spec->id, step->number, run->number, run->target->id,
                 run->target->dc, owner->routing->version);
     cw_count_code(owner->options.counters, CW_RETRY_MOVED);
-    if (owner_once_protects(run) && !cw_work_is_over(job->phase)) {
+    if (owner_at_most_once_protects(run) && !cw_work_is_over(job->phase)) {
         owner_job_end(owner, job, CW_WORK_STOPPED, CW_END_MOVED);
         return;
     }
-    owner_run_leave(owner, run);
+    owner_run_evict(owner, run);
 }
 
 static void
@@ -47,8 +48,8 @@
             continue; /* stopping a gang may have dropped several */
         }
         run = target->runs->pdata[i - 1];
-        if (!run->stopping && !run->finished &&
-            !owner_permits(owner, owner_task_job(run->task), target->dc))
+        if (!run->stopping && !run->gang_done &&
+            !owner_dc_permitted(owner, owner_task_job(run->task), target->dc))
         {
             leave_place(owner, run);
         }
@@ -61,7 +62,7 @@
     GHashTableIter iterator;
     gpointer value;
 
-    if (owner->routing == NULL || !owner->routing->confined) {
+    if (owner->routing == NULL || !owner->routing->enforces_residency) {
         return;
     }
     g_hash_table_iter_init(&iterator, owner->targets);
--- a/src/owner/owner_runs.c
+++ b/src/owner/owner_runs.c
@@ -18,13 +18,13 @@
                  unsigned number)
 {
     struct owner_run *run = g_new0(struct owner_run, 1);
-    struct cw_resources need = owner_need(task->step->spec);
+    struct cw_resources need = owner_step_need(task->step->spec);
 
     g_assert(task->run == NULL);
     run->target = target;
     run->task = task;
     run->number = number;
-    run->born_ms = target->life.born_ms;
+    run->boot_ms = target->incarnation.boot_ms;
     run->phase = phase;
     run->created_at = owner_now(owner);
     run->saved_at = run->created_at;
@@ -35,18 +35,19 @@
     g_ptr_array_add(target->runs, run);
     owner_target_wake(target);
     owner_task_job(task)->placed_at = run->created_at;
-    run->released = owner->releasing && target->lower_runs == 0;
-    if (run->released) {
-        owner_headroom_released(owner, run);
-    }
-    if (owner_task_job(task)->spec->priority > 0 && !run->released) {
-        if (target->lower_runs++ == 0) {
-            owner_rack_host(target, 1);
+    run->headroom_borrowed =
+        owner->borrowing_headroom && target->lower_priority_runs == 0;
+    if (run->headroom_borrowed) {
+        owner_headroom_borrowed(owner, run);
+    }
+    if (owner_task_job(task)->spec->priority > 0 && !run->headroom_borrowed) {
+        if (target->lower_priority_runs++ == 0) {
+            owner_rack_count_lower_priority(target, 1);
         }
-        owner_headroom_took(owner, target);
+        owner_headroom_worker_taken(owner, target);
     }
     owner_resources_add(account_of(run), &need);
-    owner_trial_begin(run);
+    owner_probation_begin(run);
     return run;
 }
 
@@ -56,37 +57,37 @@
     struct owner_target *target = run->target;
     struct owner_task *task = run->task;
     struct owner_job *job = owner_task_job(task);
-    struct cw_resources need = owner_need(task->step->spec);
+    struct cw_resources need = owner_step_need(task->step->spec);
 
-    owner_resources_take(account_of(run), &need);
+    owner_resources_subtract(account_of(run), &need);
     if (run->stopping) {
-        owner_resources_take(&target->leaving, &need);
+        owner_resources_subtract(&target->leaving, &need);
         target->stopping--;
     }
     if (run->phase < RUN_STARTING) {
-        task->step->unstarted_run =
-            MAX(task->step->unstarted_run, run->number);
+        task->step->unstarted_run_max =
+            MAX(task->step->unstarted_run_max, run->number);
     }
     if (run->phase == RUN_RUNNING) {
         task->idle_since = owner_now(owner);
     }
-    owner_trial_end(run);
+    owner_probation_end(run);
     g_ptr_array_remove_fast(target->runs, run);
     owner_target_wake(target);
-    target->busy_at = owner_now(owner);
-    if (job->spec->priority > 0 && !run->released) {
-        if (--target->lower_runs == 0) {
-            owner_rack_host(target, -1);
+    target->last_busy_at = owner_now(owner);
+    if (job->spec->priority > 0 && !run->headroom_borrowed) {
+        if (--target->lower_priority_runs == 0) {
+            owner_rack_count_lower_priority(target, -1);
         }
     }
     task->run = NULL;
     task->step->runs--;
     job->runs--;
     g_free(run);
-    owner->room_version++;
-    owner->place_wanted = true;
-    owner_job_touch(owner, job);
-    owner_runs_settle(owner, target);
+    owner->capacity_version++;
+    owner->placement_wanted = true;
+    owner_job_mark_dirty(owner, job);
+    owner_runs_promote_reserved(owner, target);
 }
 
 void
@@ -103,14 +104,14 @@
         break;
     }
     if (!run->stopping) {
-        struct cw_resources need = owner_need(run->task->step->spec);
+        struct cw_resources need = owner_step_need(run->task->step->spec);
 
         run->stopping = true;
         run->target->stopping++;
         owner_resources_add(&run->target->leaving, &need);
     }
     if ((run->phase == RUN_STARTING || run->phase == RUN_RUNNING ||
-         run->phase == RUN_UNSURE) &&
+         run->phase == RUN_INHERITED) &&
         !run->stop_queued && !run->stop_confirmed &&
         /* Each end of another member asks for it again. */
         !cw_time_before(owner_now(owner), run->stop_due))
@@ -127,14 +128,14 @@
     for (unsigned i = 0; i < step->count; i++) {
         struct owner_run *run = step->tasks[i].run;
 
-        if (run != NULL && !run->finished) {
+        if (run != NULL && !run->gang_done) {
             owner_run_stop(owner, run);
         }
     }
 }
 
 void
-owner_run_leave(struct cw_owner *owner, struct owner_run *run)
+owner_run_evict(struct cw_owner *owner, struct owner_run *run)
 {
     if (run->task->step->spec->gang) {
         owner_step_stop(owner, run->task->step);
@@ -151,7 +152,7 @@
         [RUN_RESERVED] = "reserved",     [RUN_NEW] = "new",
         [RUN_COMMITTING] = "committing", [RUN_READY] = "ready",
         [RUN_STARTING] = "starting",     [RUN_RUNNING] = "running",
-        [RUN_UNSURE] = "unsure",
+        [RUN_INHERITED] = "unsure",
     };
 
     return names[phase];
@@ -171,7 +172,7 @@
 {
     struct owner_task *task = run->task;
     struct owner_step *step = task->step;
-    bool finished = run->finished;
+    bool gang_done = run->gang_done;
     struct cw_task_name name = owner_task_name(task);
 
     cw_log_info("run_lost",
@@ -186,9 +187,9 @@
         owner_task_job(task)->idle.cause = OWNER_IDLE_LOST;
     }
     task->lost_runs++;
-    owner_once_over(owner, run, worked, CW_END_WORKER_LOST);
+    owner_at_most_once_run_over(owner, run, worked, CW_END_WORKER_LOST);
     owner_run_drop(owner, run);
-    if (step->spec->gang && !finished && !step->done) {
+    if (step->spec->gang && !gang_done && !step->done) {
         owner_step_stop(owner, step);
     }
 }
@@ -200,11 +201,11 @@
 place_is_free(const struct owner_run *run)
 {
     const struct owner_target *target = run->target;
-    struct cw_resources need = owner_need(run->task->step->spec);
+    struct cw_resources need = owner_step_need(run->task->step->spec);
     struct cw_resources room = target->capacity;
 
-    owner_resources_take(&room, &target->used);
-    owner_resources_take(&room, &target->orphans);
+    owner_resources_subtract(&room, &target->used);
+    owner_resources_subtract(&room, &target->orphans);
     return room.cpu_milli >= need.cpu_milli &&
            room.memory_mb >= need.memory_mb &&
            room.accelerators >= need.accelerators;
@@ -213,12 +214,12 @@
 static void
 promote(struct cw_owner *owner, struct owner_run *run)
 {
-    struct cw_resources need = owner_need(run->task->step->spec);
+    struct cw_resources need = owner_step_need(run->task->step->spec);
 
-    owner_resources_take(&run->target->reserved, &need);
+    owner_resources_subtract(&run->target->reserved, &need);
     owner_resources_add(&run->target->used, &need);
     run->phase = RUN_NEW;
-    owner_job_touch(owner, owner_task_job(run->task));
+    owner_job_mark_dirty(owner, owner_task_job(run->task));
 }
 
 /* A gang starts only once every member's place is free.  Members on one
@@ -244,9 +245,9 @@
     }
     for (guint i = 0; !all && i < promoted->len; i++) {
         struct owner_run *run = promoted->pdata[i];
-        struct cw_resources need = owner_need(step->spec);
+        struct cw_resources need = owner_step_need(step->spec);
 
-        owner_resources_take(&run->target->used, &need);
+        owner_resources_subtract(&run->target->used, &need);
         owner_resources_add(&run->target->reserved, &need);
         run->phase = RUN_RESERVED;
     }
@@ -254,7 +255,8 @@
 }
 
 void
-owner_runs_settle(struct cw_owner *owner, struct owner_target *target)
+owner_runs_promote_reserved(struct cw_owner *owner,
+                            struct owner_target *target)
 {
     for (guint i = 0; i < target->runs->len; i++) {
         struct owner_run *run = target->runs->pdata[i];
@@ -272,10 +274,10 @@
 }
 
 void
-owner_places_give_up(struct cw_owner *owner, struct owner_target *target,
-                     void (*log)(const struct cw_owner *owner,
-                                 const struct owner_run *run,
-                                 struct timespec now))
+owner_unsent_runs_give_up(struct cw_owner *owner, struct owner_target *target,
+                          void (*log)(const struct cw_owner *owner,
+                                      const struct owner_run *run,
+                                      struct timespec now))
 {
     for (guint i = target->runs->len; i > 0; i--) {
         struct owner_run *run;
@@ -286,7 +288,7 @@
         run = target->runs->pdata[i - 1];
         if (run->phase < RUN_COMMITTING) {
             log(owner, run, owner_now(owner));
-            owner_run_leave(owner, run);
+            owner_run_evict(owner, run);
         }
     }
 }
@@ -303,7 +305,7 @@
 }
 
 void
-owner_task_keep(struct owner_task *task, const char *saved)
+owner_task_save_checkpoint(struct owner_task *task, const char *saved)
 {
     struct owner_step *step = task->step;
 
@@ -332,7 +334,7 @@
         for (unsigned i = 0; i < step->count; i++) {
             step->tasks[i].done = true;
             if (step->tasks[i].run != NULL) {
-                step->tasks[i].run->finished = true;
+                step->tasks[i].run->gang_done = true;
             }
         }
         owner_step_done(owner, step);
@@ -366,7 +368,7 @@
         owner_run_stop(owner, task->run);
     }
     task_done(owner, task);
-    owner_job_touch(owner, owner_task_job(task));
+    owner_job_mark_dirty(owner, owner_task_job(task));
 }
 
 static void
@@ -414,7 +416,8 @@
 static enum cw_result
 reason_of(enum cw_end_kind how)
 {
-    return how == CW_END_KIND_BROKEN ? CW_END_PARTIAL : CW_END_WORKER_LOST;
+    return how == CW_END_KIND_GANG_BROKEN ? CW_END_PARTIAL
+                                          : CW_END_WORKER_LOST;
 }
 
 void
@@ -442,24 +445,25 @@
     }
     step = task->step;
     task->lost_runs = 0;
-    if (run->phase == RUN_STARTING || run->phase == RUN_UNSURE) {
-        owner_job_begun(owner, owner_task_job(task), target);
+    if (run->phase == RUN_STARTING || run->phase == RUN_INHERITED) {
+        owner_job_start_confirmed(owner, owner_task_job(task), target);
     }
-    owner_task_keep(task, ended->saved);
+    owner_task_save_checkpoint(task, ended->saved);
     keep_result(owner_task_job(task), ended);
     if (ended->how == CW_END_KIND_DONE) {
-        owner_target_praise(target);
+        owner_target_add_success(target);
         if (!step->spec->endless) {
             task_done(owner, task);
         }
     }
     else if (ended->how == CW_END_KIND_FAILED) {
-        owner_target_blame(target, task, owner_now(owner));
+        owner_target_add_failure(target, task, owner_now(owner));
         task_failed(owner, task, ended);
     }
     else {
-        owner_once_over(owner, run, ended->how != CW_END_KIND_ALONE,
-                        reason_of(ended->how));
+        owner_at_most_once_run_over(owner, run,
+                                    ended->how != CW_END_KIND_GANG_INCOMPLETE,
+                                    reason_of(ended->how));
     }
     owner_run_drop(owner, run);
     if (step->spec->gang && !step->done) {
--- a/src/owner/owner_spare.c
+++ b/src/owner/owner_spare.c
@@ -28,13 +28,13 @@
 {
     struct cw_resources room = target->capacity;
 
-    owner_resources_take(&room, &target->orphans);
+    owner_resources_subtract(&room, &target->orphans);
     for (guint i = 0; i < target->runs->len; i++) {
         const struct owner_run *run = target->runs->pdata[i];
-        struct cw_resources need = owner_need(run->task->step->spec);
+        struct cw_resources need = owner_step_need(run->task->step->spec);
 
         if (run->phase == RUN_RUNNING) {
-            owner_resources_take(&room, &need);
+            owner_resources_subtract(&room, &need);
         }
     }
     return room;
@@ -43,8 +43,8 @@
 static bool
 takes_work(const struct owner_target *target)
 {
-    return target->listed && !target->draining && !target->gone &&
-           target->silent == 0 && target->address[0] != '\0';
+    return target->listed && !target->draining && !target->superseded &&
+           target->unanswered_polls == 0 && target->address[0] != '\0';
 }
 
 struct owner_spare *
@@ -84,7 +84,9 @@
 is_kept_for_urgent_work(const struct owner_step *step,
                         const struct owner_target *target, unsigned *hosts)
 {
-    if (step->occurrence->job->spec->priority == 0 || target->lower_runs > 0) {
+    if (step->occurrence->job->spec->priority == 0 ||
+        target->lower_priority_runs > 0)
+    {
         return false;
     }
     if (*hosts == 0) {
@@ -94,24 +96,26 @@
     return false;
 }
 
-static enum owner_keeper
+static enum owner_blocker
 keeper_of(const struct owner_spare *spare, const struct owner_step *step,
           struct owner_target *target, unsigned *hosts)
 {
-    struct cw_resources need = owner_need(step->spec);
-    struct cw_resources books = owner_room(target);
+    struct cw_resources need = owner_step_need(step->spec);
+    struct cw_resources books = owner_free_resources(target);
 
-    if (owner_fits(&books, &need) == 0) {
-        return OWNER_KEEPER_BOOKED;
+    if (owner_fit_count(&books, &need) == 0) {
+        return OWNER_BLOCKER_UNCONFIRMED;
     }
-    if (!owner_target_usable(target, spare->now) || target->trials > 0) {
-        return OWNER_KEEPER_AVOIDED;
+    if (!owner_target_usable(target, spare->now) || target->probation_runs > 0)
+    {
+        return OWNER_BLOCKER_AVOIDED;
     }
-    if (owner_is_held(target, step, spare->now)) {
-        return OWNER_KEEPER_RACK;
+    if (owner_target_is_reserved(target, step, spare->now)) {
+        return OWNER_BLOCKER_RACK;
     }
-    return is_kept_for_urgent_work(step, target, hosts) ? OWNER_KEEPER_URGENT
-                                                        : OWNER_KEEPER_NONE;
+    return is_kept_for_urgent_work(step, target, hosts)
+               ? OWNER_BLOCKER_HEADROOM
+               : OWNER_BLOCKER_NONE;
 }
 
 /* What can only begin together. */
@@ -125,20 +129,21 @@
 static unsigned
 fits_there(const struct spare_room *row, const struct owner_step *step)
 {
-    struct cw_resources need = owner_need(step->spec);
-    unsigned fits = owner_fits(&row->room, &need);
+    struct cw_resources need = owner_step_need(step->spec);
+    unsigned fits = owner_fit_count(&row->room, &need);
 
-    if (fits == 0 || !owner_may_run(step, row->target)) {
+    if (fits == 0 || !owner_step_allows_target(step, row->target)) {
         return 0;
     }
-    return owner_most_there(step, row->target, fits);
+    return owner_limit_per_worker(step, row->target, fits);
 }
 
 bool
 owner_spare_fits_twice(const struct owner_spare *spare,
                        struct owner_step *step)
 {
-    unsigned *racks = g_new0(unsigned, spare->owner->rack_hosts->len);
+    unsigned *racks =
+        g_new0(unsigned, spare->owner->rack_lower_priority_workers->len);
     bool in_rack = !owner_step_needs_rack(spare->owner, step, spare->now);
     unsigned tasks = 0;
 
@@ -163,7 +168,7 @@
 {
     struct owner_spare_fit fit = {.twice =
                                       owner_spare_fits_twice(spare, step)};
-    unsigned hosts = owner_headroom_left(
+    unsigned hosts = owner_headroom_workers_left(
         spare->owner, step, step->occurrence->job->spec->service, spare->now);
 
     for (guint i = 0; i < spare->rooms->len; i++) {
@@ -173,7 +178,8 @@
 
         if (fits > 0) {
             fit.tasks += fits;
-            fit.by_keeper[keeper_of(spare, step, row->target, &hosts)] += fits;
+            fit.by_blocker[keeper_of(spare, step, row->target, &hosts)] +=
+                fits;
         }
     }
     return fit;
--- a/src/owner/owner_speed.c
+++ b/src/owner/owner_speed.c
@@ -59,7 +59,7 @@
         if (other != NULL && other != run && other->target != run->target &&
             rate_is_fresh(other, now))
         {
-            double rate = other->rate / other->target->life.speed;
+            double rate = other->rate / other->target->incarnation.speed;
 
             g_array_append_val(rates, rate);
         }
@@ -75,10 +75,12 @@
 static void
 learn_speed(struct owner_target *target, double ratio)
 {
-    double seen = target->life.speed * ratio;
+    double seen = target->incarnation.speed * ratio;
 
-    target->life.speed += SPEED_WEIGHT * (seen - target->life.speed);
-    target->life.speed = CLAMP(target->life.speed, SPEED_LEAST, SPEED_MOST);
+    target->incarnation.speed +=
+        SPEED_WEIGHT * (seen - target->incarnation.speed);
+    target->incarnation.speed =
+        CLAMP(target->incarnation.speed, SPEED_LEAST, SPEED_MOST);
 }
 
 static void
@@ -94,9 +96,10 @@
         .expected = expected,
     };
 
-    if (run->stopping || run->finished || step->spec->endless ||
-        owner_once_protects(run) || step->moves >= MOVES_MOST ||
-        !cw_restart_pays(&restart) || !owner_run_may_move(owner, run, now))
+    if (run->stopping || run->gang_done || step->spec->endless ||
+        owner_at_most_once_protects(run) || step->moves >= MOVES_MOST ||
+        !cw_restart_is_worthwhile(&restart) ||
+        !owner_run_may_move(owner, run, now))
     {
         return;
     }
@@ -106,7 +109,7 @@
                 "expected=%.1f",
                 step->occurrence->job->spec->id, step->number, run->number,
                 run->target->id, run->percent, run->rate, expected);
-    owner_run_displace(owner, run, OWNER_IDLE_MOVED);
+    owner_run_evict_for(owner, run, OWNER_IDLE_MOVED);
 }
 
 static void
@@ -114,12 +117,12 @@
 {
     struct owner_target *target = run->target;
 
-    if (cw_time_before(target->life.slow_until, now)) {
+    if (cw_time_before(target->incarnation.slow_until, now)) {
         cw_log_info("worker_slow", "worker=%s rate=%.1f expected=%.1f id=%s",
                     target->id, run->rate, expected,
                     owner_task_job(run->task)->spec->id);
     }
-    target->life.slow_until = cw_time_add_ms(now, SLOW_AVOID_MS);
+    target->incarnation.slow_until = cw_time_add_ms(now, SLOW_AVOID_MS);
 }
 
 /* Percents that are due in so long at that rate. */
@@ -134,28 +137,29 @@
 judge_rate(struct cw_owner *owner, struct owner_run *run, double peers,
            int64_t passed_ms, struct timespec now)
 {
-    struct owner_life *life = &run->target->life;
+    struct owner_incarnation *incarnation = &run->target->incarnation;
     unsigned job = g_str_hash(owner_task_job(run->task)->spec->id);
     bool tells_best =
         due_percents(run->best_rate, passed_ms) >= WINDOW_PERCENTS;
-    struct cw_pace pace = {
+    struct cw_rates pace = {
         .rate = run->rate,
         .best = tells_best ? run->best_rate : 0,
         .peers = peers,
-        .slow_before = life->slow_job != 0 && life->slow_job != job,
+        .slow_in_other_job =
+            incarnation->slow_job != 0 && incarnation->slow_job != job,
     };
 
-    switch (cw_pace_judge(&pace)) {
-    case CW_PACE_SLOW_WORKER:
-        avoid_slow_worker(run, cw_pace_expected(&pace), now);
-        leave_slow_worker(owner, run, cw_pace_expected(&pace), now);
+    switch (cw_rates_classify(&pace)) {
+    case CW_RATE_SLOW_WORKER:
+        avoid_slow_worker(run, cw_rates_expected(&pace), now);
+        leave_slow_worker(owner, run, cw_rates_expected(&pace), now);
         break;
-    case CW_PACE_LONG_TASK:
-        life->slow_job = job;
+    case CW_RATE_LONG_TASK:
+        incarnation->slow_job = job;
         break;
-    case CW_PACE_NORMAL:
-        life->slow_until = cw_time_from_ms(0);
-        life->slow_job = 0;
+    case CW_RATE_NORMAL:
+        incarnation->slow_until = cw_time_from_ms(0);
+        incarnation->slow_job = 0;
         if (peers > 0) {
             learn_speed(run->target, run->rate / peers);
         }
@@ -177,8 +181,8 @@
 }
 
 void
-owner_speed_note(struct cw_owner *owner, struct owner_run *run,
-                 unsigned percent, struct timespec now)
+owner_speed_observe(struct cw_owner *owner, struct owner_run *run,
+                    unsigned percent, struct timespec now)
 {
     int64_t passed_ms = cw_time_diff_ms(run->window_at, now);
     unsigned advance = percent - run->window_percent;
@@ -193,7 +197,7 @@
         return;
     }
     if (run->task->step->spec->gang) {
-        peers = gang_rate(run, now) * run->target->life.speed;
+        peers = gang_rate(run, now) * run->target->incarnation.speed;
     }
     if (!window_is_full(run, advance, peers, passed_ms)) {
         return;
--- a/src/owner/owner_starvation.c
+++ b/src/owner/owner_starvation.c
@@ -4,7 +4,8 @@
  * that failed or were slow are avoided for seconds, and lower work waits while
  * the owner is behind.  Once cw_idle_is_overdue says so, what a job can only
  * begin together, one task or its gang, is placed in what is free, whatever it
- * is kept for.  It makes way again ahead of need (owner_take_back.c). */
+ * is kept for.  It makes way again ahead of need (owner_headroom_reclaim.c).
+ */
 #include "owner/internal/owner_candidates.h"
 #include "owner/internal/owner_placement.h"
 
@@ -77,7 +78,7 @@
        const GArray *candidates, struct timespec now)
 {
     unsigned together = step->spec->gang ? step->count : 1;
-    unsigned fits = owner_total_fits(candidates);
+    unsigned fits = owner_total_fit_count(candidates);
     const char *rack = NULL;
 
     if (fits < least_fits(step, together, now)) {
@@ -92,7 +93,7 @@
     if (rack == NULL && owner_step_needs_rack(owner, step, now)) {
         return NULL;
     }
-    return owner_choose(candidates, rack, together);
+    return owner_choose_targets(candidates, rack, together);
 }
 
 static bool
@@ -100,23 +101,23 @@
          const GPtrArray *targets, struct timespec now)
 {
     const struct owner_job *job = step->occurrence->job;
-    GArray *candidates = owner_candidates_kept(targets, step, now);
+    GArray *candidates = owner_candidates_with_reserved(targets, step, now);
     GArray *choices;
 
-    owner->releasing =
+    owner->borrowing_headroom =
         job->spec->priority > 0 &&
-        owner_headroom_left(owner, step, job->service, now) == 0;
+        owner_headroom_workers_left(owner, step, job->service, now) == 0;
     choices = choose(owner, step, candidates, now);
     if (choices != NULL) {
-        cw_log_info("room_released",
+        cw_log_info("headroom_borrowed",
                     "id=%s step=%u.%u waits_ms=%" PRId64 " fits=%u runs=%u",
                     job->spec->id, step->occurrence->number, step->number,
                     cw_time_diff_ms(job->idle.clock.since, now),
-                    owner_total_fits(candidates), step->runs);
+                    owner_total_fit_count(candidates), step->runs);
         owner_assign(owner, step, choices, RUN_NEW);
         g_array_unref(choices);
     }
-    owner->releasing = false;
+    owner->borrowing_headroom = false;
     g_array_unref(candidates);
     return choices != NULL;
 }
@@ -124,16 +125,16 @@
 static bool
 may_try(struct cw_owner *owner, struct owner_step *step, struct timespec now)
 {
-    return owner_step_wants_place(step, now) && is_starved(step, now) &&
-           owner_once_may_begin(owner, step) &&
-           !owner_memo_hopeless(owner, step, OWNER_ATTEMPT_STARVED, now);
+    return owner_step_needs_placement(step, now) && is_starved(step, now) &&
+           owner_at_most_once_may_start(owner, step) &&
+           !owner_memo_has_failed(owner, step, OWNER_ATTEMPT_STARVED, now);
 }
 
 bool
-owner_starved_place_one(struct cw_owner *owner, struct owner_step *step,
-                        struct timespec now)
+owner_place_starved_step(struct cw_owner *owner, struct owner_step *step,
+                         struct timespec now)
 {
-    struct cw_resources need = owner_need(step->spec);
+    struct cw_resources need = owner_step_need(step->spec);
     GPtrArray *targets;
     bool done;
 
@@ -144,7 +145,7 @@
     done = place_on(owner, step, targets, now);
     g_ptr_array_unref(targets);
     if (!done) {
-        owner_memo_failed(owner, step, OWNER_ATTEMPT_STARVED, now);
+        owner_memo_add_failure(owner, step, OWNER_ATTEMPT_STARVED, now);
     }
     return done;
 }
@@ -159,7 +160,7 @@
 
     for (guint i = 0; i < steps->len; i++) {
         const struct owner_step *step = steps->pdata[i];
-        struct cw_resources need = owner_need(step->spec);
+        struct cw_resources need = owner_step_need(step->spec);
 
         least.cpu_milli = MIN(least.cpu_milli, need.cpu_milli);
         least.memory_mb = MIN(least.memory_mb, need.memory_mb);
@@ -169,8 +170,8 @@
 }
 
 void
-owner_starved_place(struct cw_owner *owner, const GPtrArray *steps,
-                    struct timespec now)
+owner_place_starved_steps(struct cw_owner *owner, const GPtrArray *steps,
+                          struct timespec now)
 {
     struct cw_resources least = least_need(steps);
     GPtrArray *targets = NULL;
@@ -181,7 +182,7 @@
         return;
     }
     owner->starved_due = cw_time_add_ms(now, EVERY_MS);
-    owner_take_back(owner, now);
+    owner_headroom_reclaim(owner, now);
     for (guint i = 0;
          i < steps->len && placed < PLACED_MOST && failed < FAILED_MOST; i++)
     {
@@ -197,7 +198,7 @@
             placed++;
         }
         else {
-            owner_memo_failed(owner, step, OWNER_ATTEMPT_STARVED, now);
+            owner_memo_add_failure(owner, step, OWNER_ATTEMPT_STARVED, now);
             failed++;
         }
     }
--- a/src/owner/owner_state.c
+++ b/src/owner/owner_state.c
@@ -26,10 +26,11 @@
     if (stored->worker > 0 && stored->worker <= record->workers.workers_len) {
         u_int which = stored->worker - 1;
         const char *id = record->workers.workers_val[which];
-        struct owner_run *run = owner_run_create(
-            owner, task, owner_target_get(owner, id), RUN_UNSURE, stored->run);
+        struct owner_run *run =
+            owner_run_create(owner, task, owner_target_get(owner, id),
+                             RUN_INHERITED, stored->run);
 
-        run->born_ms = which < record->lives.lives_len
+        run->boot_ms = which < record->lives.lives_len
                            ? record->lives.lives_val[which]
                            : 0;
     }
@@ -85,7 +86,7 @@
     for (u_int i = 0; i < record->places.places_len; i++) {
         const struct cw_place_record *place = &record->places.places_val[i];
 
-        owner_job_ran(job, place->worker, place->dc, place->runs);
+        owner_job_add_placement(job, place->worker, place->dc, place->runs);
     }
     for (u_int i = 0; i < record->open.open_len; i++) {
         const struct cw_occurrence_record *stored = &record->open.open_val[i];
@@ -131,7 +132,7 @@
 static unsigned
 listed_at(struct listing *listing, const struct owner_run *run)
 {
-    char *key = g_strdup_printf("%s %" PRId64, run->target->id, run->born_ms);
+    char *key = g_strdup_printf("%s %" PRId64, run->target->id, run->boot_ms);
     gpointer found = g_hash_table_lookup(listing->index, key);
 
     if (found != NULL) {
@@ -139,7 +140,7 @@
         return GPOINTER_TO_UINT(found);
     }
     g_ptr_array_add(listing->names, run->target->id);
-    g_array_append_val(listing->lives, run->born_ms);
+    g_array_append_val(listing->lives, run->boot_ms);
     g_hash_table_insert(listing->index, key,
                         GUINT_TO_POINTER(listing->names->len));
     return listing->names->len;
@@ -247,8 +248,8 @@
     out->places.places_len = job->places->len;
     out->places.places_val = g_new0(struct cw_place_record, job->places->len);
     for (guint i = 0; i < job->places->len; i++) {
-        const struct owner_place *place =
-            &g_array_index(job->places, struct owner_place, i);
+        const struct owner_job_placement *place =
+            &g_array_index(job->places, struct owner_job_placement, i);
 
         out->places.places_val[i].worker = place->worker;
         out->places.places_val[i].dc = place->dc;
--- a/src/owner/owner_stored.c
+++ b/src/owner/owner_state_reader.c
@@ -1,5 +1,5 @@
 /* The states of jobs in the store, while a VM takes a shard over. */
-#include "owner/internal/owner_stored.h"
+#include "owner/internal/owner_state_reader.h"
 
 #include <string.h>
 
@@ -10,7 +10,7 @@
 /* The present owner writes until it is shut out. */
 enum { READ_PACE_MS = 20 };
 
-struct owner_stored {
+struct owner_state_reader {
     struct cw_follower *follower;
     GHashTable *states; /* id -> GBytes */
 };
@@ -18,7 +18,7 @@
 static void
 on_reset(void *context)
 {
-    struct owner_stored *stored = context;
+    struct owner_state_reader *stored = context;
 
     g_hash_table_remove_all(stored->states);
 }
@@ -26,7 +26,7 @@
 static void
 on_record(void *context, const struct cw_store_record *record)
 {
-    struct owner_stored *stored = context;
+    struct owner_state_reader *stored = context;
     const char *id = record->key + 1;
 
     if (record->key[0] != CW_WORK_KEY_RECORD) {
@@ -43,18 +43,18 @@
                          g_bytes_new(record->value, record->length));
 }
 
-struct owner_stored *
-owner_stored_create(struct cw_store *store, struct cw_clock *clock,
-                    unsigned partition)
+struct owner_state_reader *
+owner_state_reader_create(struct cw_store *store, struct cw_clock *clock,
+                          unsigned partition)
 {
-    struct owner_stored *stored = g_new0(struct owner_stored, 1);
+    struct owner_state_reader *stored = g_new0(struct owner_state_reader, 1);
     struct cw_follower_options options = {
         .name = "states",
         .store = store,
         .clock = clock,
         .topic = CW_STATE_TOPIC,
         .partition = partition,
-        .pace_ms = READ_PACE_MS,
+        .read_interval_ms = READ_PACE_MS,
         .handler = {.reset = on_reset, .record = on_record, .context = stored},
     };
 
@@ -65,7 +65,7 @@
 }
 
 void
-owner_stored_free(struct owner_stored *stored)
+owner_state_reader_free(struct owner_state_reader *stored)
 {
     if (stored != NULL) {
         cw_follower_free(stored->follower);
@@ -75,20 +75,22 @@
 }
 
 struct cw_follower *
-owner_stored_follower(struct owner_stored *stored)
+owner_state_reader_follower(struct owner_state_reader *stored)
 {
     return stored->follower;
 }
 
 GBytes *
-owner_stored_find(const struct owner_stored *stored, const char *job)
+owner_state_reader_find(const struct owner_state_reader *stored,
+                        const char *job)
 {
     return stored != NULL ? g_hash_table_lookup(stored->states, job) : NULL;
 }
 
 void
-owner_stored_each(const struct owner_stored *stored,
-                  void (*see)(void *context, const char *job), void *context)
+owner_state_reader_each(const struct owner_state_reader *stored,
+                        void (*see)(void *context, const char *job),
+                        void *context)
 {
     GHashTableIter iterator;
     gpointer id;
--- a/src/owner/owner_targets.c
+++ b/src/owner/owner_targets.c
@@ -38,7 +38,7 @@
         g_free(target->runs->pdata[i]);
     }
     g_ptr_array_unref(target->runs);
-    g_array_unref(target->charges);
+    g_array_unref(target->pending_suspicions);
     g_ptr_array_unref(target->tombstones);
     orders_clear(&target->orders);
     g_free(target->id);
@@ -56,7 +56,7 @@
         target = g_new0(struct owner_target, 1);
         target->owner = owner;
         target->number = g_hash_table_size(owner->targets);
-        target->life = owner_life_new(0);
+        target->incarnation = owner_incarnation_new(0);
         target->id = g_strdup(id);
         target->address = g_strdup("");
         target->service = g_intern_string("");
@@ -64,7 +64,7 @@
         owner_target_set_rack(target, "");
         target->kind = g_strdup("");
         target->runs = g_ptr_array_new();
-        target->charges = owner_charges_new();
+        target->pending_suspicions = owner_pending_suspicions_new();
         target->tombstones = owner_tombstones_new();
         g_queue_init(&target->orders);
         g_hash_table_insert(owner->targets, target->id, target);
@@ -74,10 +74,10 @@
 }
 
 void
-owner_rack_host(struct owner_target *target, int change)
+owner_rack_count_lower_priority(struct owner_target *target, int change)
 {
-    g_array_index(target->owner->rack_hosts, unsigned, target->rack_number) +=
-        (unsigned)change;
+    g_array_index(target->owner->rack_lower_priority_workers, unsigned,
+                  target->rack_number) += (unsigned)change;
 }
 
 void
@@ -93,22 +93,23 @@
     if (number == NULL) {
         number = GUINT_TO_POINTER(g_hash_table_size(owner->racks) + 1);
         g_hash_table_insert(owner->racks, (gpointer)name, number);
-        g_array_set_size(owner->rack_hosts, GPOINTER_TO_UINT(number) + 1);
+        g_array_set_size(owner->rack_lower_priority_workers,
+                         GPOINTER_TO_UINT(number) + 1);
     }
-    if (target->lower_runs > 0) {
-        owner_rack_host(target, -1);
+    if (target->lower_priority_runs > 0) {
+        owner_rack_count_lower_priority(target, -1);
     }
     target->rack = name;
     target->rack_number = GPOINTER_TO_UINT(number);
-    if (target->lower_runs > 0) {
-        owner_rack_host(target, 1);
+    if (target->lower_priority_runs > 0) {
+        owner_rack_count_lower_priority(target, 1);
     }
 }
 
 void
 owner_target_wake(struct owner_target *target)
 {
-    owner_due_by(target->owner->due, &target->due, cw_time_from_ms(0));
+    owner_due_schedule(target->owner->due, &target->due, cw_time_from_ms(0));
 }
 
 void
@@ -124,7 +125,7 @@
 }
 
 void
-owner_target_has_ends(struct owner_target *target)
+owner_target_ends_applied(struct owner_target *target)
 {
     if (!target->ends_new) {
         target->ends_new = true;
@@ -162,13 +163,13 @@
                     target->runs->len);
     }
     target->capacity = *now;
-    owner->room_version++;
-    owner->place_wanted = true;
-    owner_runs_settle(owner, target);
+    owner->capacity_version++;
+    owner->placement_wanted = true;
+    owner_runs_promote_reserved(owner, target);
 }
 
 void
-owner_target_take_report(void *context, const struct cw_target_report *report)
+owner_target_apply_report(void *context, const struct cw_target_report *report)
 {
     struct cw_owner *owner = context;
     struct owner_target *target = owner_target_get(owner, report->id);
@@ -186,24 +187,24 @@
                                             : G_LOG_LEVEL_DEBUG,
                "worker", "worker=%s state=%s address=%s rack=%s", target->id,
                draining ? "draining" : "ready", target->address, target->rack);
-        owner->room_version++;
-        owner->place_wanted = true;
+        owner->capacity_version++;
+        owner->placement_wanted = true;
     }
     owner_target_wake(target);
     if (draining && !target->draining) {
-        owner_drain_noticed(target, report->remaining_ms, owner_now(owner));
+        owner_drain_announced(target, report->remaining_ms, owner_now(owner));
     }
     take_capacity(target, &report->capacity);
     if (owner->reports != NULL) {
         /* An earlier read had not found it. */
-        target->reported_at = cw_follower_fresh(owner->reports);
+        target->reported_at = cw_follower_fresh_as_of(owner->reports);
     }
     target->listed = true;
-    target->seen_mark = true;
+    target->seen_in_reload = true;
     target->draining = draining;
-    owner_life_reported(target, report->born_ms);
-    if (!target->life.clock_known && report->clock_ms > 0) {
-        owner_target_clock(target, report->clock_ms, owner_now(owner));
+    owner_incarnation_reported(target, report->boot_ms);
+    if (!target->incarnation.clock_known && report->clock_ms > 0) {
+        owner_target_set_clock(target, report->clock_ms, owner_now(owner));
     }
     if (new_life) {
         owner_crashes_listed(owner, target);
@@ -222,7 +223,7 @@
 }
 
 void
-owner_target_record(void *context, const struct cw_store_record *record)
+owner_target_apply_record(void *context, const struct cw_store_record *record)
 {
     struct cw_owner *owner = context;
 
@@ -237,7 +238,7 @@
     }
     if (!owner->options.codec->decode_target(record->key, record->value,
                                              record->length,
-                                             owner_target_take_report, owner))
+                                             owner_target_apply_report, owner))
     {
         struct owner_target *target =
             g_hash_table_lookup(owner->targets, record->key);
@@ -260,7 +261,7 @@
 
     g_hash_table_iter_init(&iterator, owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        ((struct owner_target *)value)->seen_mark = false;
+        ((struct owner_target *)value)->seen_in_reload = false;
     }
 }
 
@@ -275,7 +276,7 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct owner_target *target = value;
 
-        if (!target->seen_mark) {
+        if (!target->seen_in_reload) {
             unlist(target);
         }
     }
@@ -284,13 +285,13 @@
 /* ---- clocks ---- */
 
 void
-owner_target_clock(struct owner_target *target, int64_t clock_ms,
-                   struct timespec now)
+owner_target_set_clock(struct owner_target *target, int64_t clock_ms,
+                       struct timespec now)
 {
     if (clock_ms > 0) {
-        target->life.clock_known = true;
-        target->life.clock_at = now;
-        target->life.clock_offset_ms =
+        target->incarnation.clock_known = true;
+        target->incarnation.clock_at = now;
+        target->incarnation.clock_offset_ms =
             clock_ms - cw_time_diff_ms(cw_time_from_ms(0), now);
     }
 }
@@ -309,10 +310,12 @@
 }
 
 int64_t
-owner_target_heard_ms(const struct owner_target *target, struct timespec now)
+owner_target_since_answer_ms(const struct owner_target *target,
+                             struct timespec now)
 {
-    return target->seen_at.tv_sec > 0 ? cw_time_diff_ms(target->seen_at, now)
-                                      : -1;
+    return target->answered_poll_sent_at.tv_sec > 0
+               ? cw_time_diff_ms(target->answered_poll_sent_at, now)
+               : -1;
 }
 
 void
@@ -322,12 +325,12 @@
     cw_log_info("worker_lost",
                 "worker=%s reason=%s runs=%u silent=%u draining=%d "
                 "heard_ms=%" PRId64,
-                target->id, reason, target->runs->len, target->silent,
-                target->draining,
-                owner_target_heard_ms(target, owner_now(owner)));
+                target->id, reason, target->runs->len,
+                target->unanswered_polls, target->draining,
+                owner_target_since_answer_ms(target, owner_now(owner)));
     for (guint i = 0; i < target->runs->len; i++) {
         owner_crashes_collect(target->runs->pdata[i], owner_now(owner));
-        if (!target->gone) {
+        if (!target->superseded) {
             owner_tombstone_add(target->runs->pdata[i]);
         }
     }
@@ -338,8 +341,8 @@
     orders_clear(&target->orders);
     owner_tombstone_unqueue(target);
     target->answered = false; /* the next look shows what became of them */
-    owner->place_wanted = true;
-    owner_crashes_settle(owner, target, owner_now(owner));
+    owner->placement_wanted = true;
+    owner_crashes_resolve(owner, target, owner_now(owner));
 }
 
 /* ---- trust ---- */
@@ -350,13 +353,15 @@
 {
     const struct cw_routing *routing = target->owner->routing;
     const struct cw_service *service =
-        routing != NULL ? cw_routing_service(routing, target->service) : NULL;
+        routing != NULL ? cw_routing_service_by_name(routing, target->service)
+                        : NULL;
 
-    return service == NULL || service->guards_capacity;
+    return service == NULL || service->enforces_capacity;
 }
 
 bool
-owner_target_room_known(const struct owner_target *target, struct timespec now)
+owner_target_capacity_known(const struct owner_target *target,
+                            struct timespec now)
 {
     int64_t most_ms = target->owner->options.report_ms + REPORT_LATE_MS;
 
@@ -367,45 +372,46 @@
 bool
 owner_target_reachable(const struct owner_target *target, struct timespec now)
 {
-    return target->listed && !target->draining && !target->gone &&
-           target->answered && target->silent == 0 &&
-           target->note == OWNER_NOTE_NONE &&
-           !owner_tombstone_pending(target) && target->life.clock_known &&
-           target->address[0] != '\0' &&
+    return target->listed && !target->draining && !target->superseded &&
+           target->answered && target->unanswered_polls == 0 &&
+           target->lease_note == OWNER_LEASE_NOTE_NONE &&
+           !owner_tombstone_pending(target) &&
+           target->incarnation.clock_known && target->address[0] != '\0' &&
            !cw_time_before(now, target->avoid_until) &&
-           owner_target_room_known(target, now);
+           owner_target_capacity_known(target, now);
 }
 
 bool
 owner_target_usable(const struct owner_target *target, struct timespec now)
 {
     return owner_target_reachable(target, now) &&
-           !cw_time_before(now, target->life.suspect_until) &&
-           !cw_time_before(now, target->life.slow_until);
+           !cw_time_before(now, target->incarnation.suspect_until) &&
+           !cw_time_before(now, target->incarnation.slow_until);
 }
 
 void
-owner_target_blame(struct owner_target *target, const struct owner_task *task,
-                   struct timespec now)
+owner_target_add_failure(struct owner_target *target,
+                         const struct owner_task *task, struct timespec now)
 {
     const char *id = owner_task_job(task)->spec->id;
     unsigned job = g_str_hash(id);
 
-    if (target->life.failures > 0 && target->life.failed_job == job) {
+    if (target->incarnation.failures > 0 &&
+        target->incarnation.failed_job == job) {
         return;
     }
-    target->life.failed_job = job;
-    target->life.failures++;
-    if (target->life.failures < BLAMED_BY_LEAST) {
+    target->incarnation.failed_job = job;
+    target->incarnation.failures++;
+    if (target->incarnation.failures < BLAMED_BY_LEAST) {
         return;
     }
-    target->life.suspect_until = cw_time_add_ms(now, BLAME_MS);
+    target->incarnation.suspect_until = cw_time_add_ms(now, BLAME_MS);
     cw_log_info("worker_suspect", "worker=%s failures=%u id=%s", target->id,
-                target->life.failures, id);
+                target->incarnation.failures, id);
 }
 
 void
-owner_target_praise(struct owner_target *target)
+owner_target_add_success(struct owner_target *target)
 {
-    target->life.failures = 0;
+    target->incarnation.failures = 0;
 }
--- a/src/owner/owner_tombstones.c
+++ b/src/owner/owner_tombstones.c
@@ -96,7 +96,7 @@
         }
         if (confirmed) {
             g_ptr_array_remove_index_fast(target->tombstones, i);
-            target->owner->place_wanted = true;
+            target->owner->placement_wanted = true;
         }
         else {
             entry->queued = false;
@@ -110,7 +110,7 @@
 owner_tombstone_tick(struct owner_target *target, struct timespec now)
 {
     struct timespec next = cw_time_from_ms(INT32_MAX);
-    bool heard = target->answered && target->silent == 0;
+    bool heard = target->answered && target->unanswered_polls == 0;
     guint i = 0;
 
     while (i < target->tombstones->len) {
--- a/src/owner/owner_view.c
+++ b/src/owner/owner_view.c
@@ -5,16 +5,16 @@
 static const char *
 state_of(const struct owner_target *target, struct timespec now)
 {
-    if (target->gone || !target->listed) {
+    if (target->superseded || !target->listed) {
         return "gone";
     }
-    if (target->silent > 0) {
+    if (target->unanswered_polls > 0) {
         return "silent";
     }
     if (target->draining) {
         return "draining";
     }
-    if (!owner_target_takes_work(target)) {
+    if (!owner_target_accepts_work(target)) {
         return "cordoned";
     }
     return owner_target_usable(target, now) ? "ready" : "avoided";
@@ -63,7 +63,7 @@
                  !cw_work_is_over(other->phase) &&
                  (other->spec->priority < job->spec->priority ||
                   (other->spec->priority == job->spec->priority &&
-                   cw_time_before(other->objective, job->objective)));
+                   cw_time_before(other->objective_at, job->objective_at)));
     }
     return count;
 }
@@ -79,7 +79,9 @@
         out, "step %u of occurrence %u: %u of %u tasks left, %u placed%s\n",
         step->number, step->occurrence->number, step->left, step->count,
         step->runs, step->spec->gang ? ", a gang" : "");
-    if (owner_step_waiting(step) > 0 && !owner_once_may_begin(owner, step)) {
+    if (owner_step_waiting_tasks(step) > 0 &&
+        !owner_at_most_once_may_start(owner, step))
+    {
         g_string_append(out, "  it must not be begun twice, so it cannot "
                              "give way: it waits until that leaves every "
                              "guarantee reclaimable\n");
@@ -90,7 +92,7 @@
             "  crashes of workers speak against %u of its tasks: they are "
             "started apart%s\n",
             step->suspects,
-            owner_step_is_held_back(step, now)
+            owner_step_is_delayed(step, now)
                 ? ", and wait for word of the last worker"
                 : "");
     }
@@ -109,7 +111,7 @@
         const struct owner_target *target = value;
 
         listed += target->listed;
-        cordoned += target->listed && !owner_target_takes_work(target);
+        cordoned += target->listed && !owner_target_accepts_work(target);
     }
     if (cordoned > 0) {
         g_string_append_printf(out,
@@ -138,7 +140,7 @@
         job->started ? "running" : "waiting",
         (double)cw_time_diff_ms(job->known_at, now) / CW_MS_PER_S,
         job->spec->priority, job->spec->account,
-        owner_guaranteed(owner, job) ? "within" : "beyond",
+        owner_job_is_guaranteed(owner, job) ? "within" : "beyond",
         waiting_ahead(owner, job));
     explain_cordons(owner, out);
     for (guint i = 0; i < job->open->len; i++) {
--- a/src/placement/headroom.c
+++ b/src/placement/headroom.c
@@ -19,36 +19,36 @@
 void
 cw_headroom_init(struct cw_headroom *headroom, struct timespec now)
 {
-    headroom->at = now;
+    headroom->observed_at = now;
 }
 
 void
 cw_headroom_arrived(struct cw_headroom *headroom, double accelerators)
 {
-    headroom->arrived += accelerators;
+    headroom->recent_arrivals += accelerators;
 }
 
 void
 cw_headroom_observe(struct cw_headroom *headroom, double held,
                     struct timespec now)
 {
-    int64_t passed_ms = cw_time_diff_ms(headroom->at, now);
+    int64_t passed_ms = cw_time_diff_ms(headroom->observed_at, now);
     double passed_s = (double)passed_ms / CW_MS_PER_S;
 
     headroom->peak *= MAX(0, 1 - passed_s * FORGET_PERCENT_PER_S / PERCENT);
     headroom->peak = MAX(headroom->peak, held);
-    headroom->arrived *= MAX(0, 1 - (double)passed_ms / ARRIVALS_MS);
-    headroom->at = now;
+    headroom->recent_arrivals *= MAX(0, 1 - (double)passed_ms / ARRIVALS_MS);
+    headroom->observed_at = now;
 }
 
 double
-cw_headroom_arriving(const struct cw_headroom *headroom)
+cw_headroom_expected_arrivals(const struct cw_headroom *headroom)
 {
-    return headroom->arrived * SPARE_MS / ARRIVALS_MS;
+    return headroom->recent_arrivals * SPARE_MS / ARRIVALS_MS;
 }
 
 double
-cw_headroom_kept(const struct cw_headroom *headroom)
+cw_headroom_reserved(const struct cw_headroom *headroom)
 {
-    return headroom->peak + cw_headroom_arriving(headroom);
+    return headroom->peak + cw_headroom_expected_arrivals(headroom);
 }
--- a/src/placement/idle.c
+++ b/src/placement/idle.c
@@ -29,27 +29,27 @@
 }
 
 void
-cw_idle_look(struct cw_idle *idle, bool has_room, struct timespec now)
+cw_idle_check(struct cw_idle *idle, bool has_room, struct timespec now)
 {
     if (!has_room) {
-        idle->room_since = cw_time_from_ms(0);
+        idle->free_since = cw_time_from_ms(0);
         return;
     }
-    if (!is_set(idle->room_since)) {
-        idle->room_since = now;
+    if (!is_set(idle->free_since)) {
+        idle->free_since = now;
     }
-    if (!is_set(idle->offered_since) ||
-        cw_time_diff_ms(idle->offered_at, now) > GAP_MS)
+    if (!is_set(idle->available_since) ||
+        cw_time_diff_ms(idle->last_free_at, now) > GAP_MS)
     {
-        idle->offered_since = now;
+        idle->available_since = now;
     }
-    idle->offered_at = now;
+    idle->last_free_at = now;
 }
 
 int64_t
-cw_idle_room_ms(const struct cw_idle *idle, struct timespec now)
+cw_idle_free_ms(const struct cw_idle *idle, struct timespec now)
 {
-    return is_set(idle->room_since) ? cw_time_diff_ms(idle->room_since, now)
+    return is_set(idle->free_since) ? cw_time_diff_ms(idle->free_since, now)
                                     : 0;
 }
 
@@ -57,7 +57,8 @@
 cw_idle_is_overdue(const struct cw_idle *idle, struct timespec now)
 {
     return cw_time_diff_ms(idle->since, now) > IDLE_MS &&
-           is_set(idle->offered_since) &&
-           cw_time_diff_ms(idle->offered_at, now) <= GAP_MS &&
-           cw_time_diff_ms(idle->offered_since, idle->offered_at) >= ROOM_MS;
+           is_set(idle->available_since) &&
+           cw_time_diff_ms(idle->last_free_at, now) <= GAP_MS &&
+           cw_time_diff_ms(idle->available_since, idle->last_free_at) >=
+               ROOM_MS;
 }
--- a/src/placement/stragglers.c
+++ b/src/placement/stragglers.c
@@ -29,7 +29,7 @@
     if (progress->percent >= CW_PERCENT_DONE && progress->awaits_gang) {
         return false;
     }
-    return (double)progress->still_ms >= bound_ms;
+    return (double)progress->unchanged_ms >= bound_ms;
 }
 
 static bool
@@ -38,29 +38,30 @@
     return rate * CW_PERCENT_DONE < expected * SLOW_PERCENT;
 }
 
-enum cw_pace_verdict
-cw_pace_judge(const struct cw_pace *pace)
+enum cw_rate_verdict
+cw_rates_classify(const struct cw_rates *pace)
 {
     if (pace->best <= 0 && pace->peers <= 0) {
-        return CW_PACE_UNKNOWN;
+        return CW_RATE_UNKNOWN;
     }
     if (is_slow(pace->rate, pace->best)) {
-        return CW_PACE_SLOW_WORKER;
+        return CW_RATE_SLOW_WORKER;
     }
     if (is_slow(pace->rate, pace->peers)) {
-        return pace->slow_before ? CW_PACE_SLOW_WORKER : CW_PACE_LONG_TASK;
+        return pace->slow_in_other_job ? CW_RATE_SLOW_WORKER
+                                       : CW_RATE_LONG_TASK;
     }
-    return CW_PACE_NORMAL;
+    return CW_RATE_NORMAL;
 }
 
 double
-cw_pace_expected(const struct cw_pace *pace)
+cw_rates_expected(const struct cw_rates *pace)
 {
     return pace->peers > 0 ? pace->peers : pace->best;
 }
 
 bool
-cw_restart_pays(const struct cw_restart *restart)
+cw_restart_is_worthwhile(const struct cw_restart *restart)
 {
     double left = CW_PERCENT_DONE - restart->percent;
     double again = restart->checkpoints ? left : CW_PERCENT_DONE;
--- a/src/relay/internal/relay_private.h
+++ b/src/relay/internal/relay_private.h
@@ -64,9 +64,10 @@
 
 /* What hears of a call's result; one of them, by the request's kind. */
 struct relay_handlers {
-    void (*appended)(void *context, const struct cw_store_appended *result);
+    void (*appended)(void *context,
+                     const struct cw_store_append_result *result);
     void (*page)(void *context, const struct cw_store_page *page);
-    void (*joined)(void *context, const struct cw_store_joined *result);
+    void (*joined)(void *context, const struct cw_store_join_result *result);
     void *context;
 };
 
--- a/src/relay/relay.c
+++ b/src/relay/relay.c
@@ -34,9 +34,9 @@
     bool direct_tried;
     bool unsure; /* it may have been carried out */
     char *peer_address;
-    void (*appended)(void *, const struct cw_store_appended *);
+    void (*appended)(void *, const struct cw_store_append_result *);
     void (*page)(void *, const struct cw_store_page *);
-    void (*joined)(void *, const struct cw_store_joined *);
+    void (*joined)(void *, const struct cw_store_join_result *);
     void *context;
 };
 
@@ -90,7 +90,7 @@
     u_int count = answer->records.records_len;
 
     if (call->appended != NULL) {
-        struct cw_store_appended appended = {
+        struct cw_store_append_result appended = {
             .status = (enum cw_store_status)answer->status,
             .first = answer->first,
             .end = answer->end,
@@ -100,7 +100,7 @@
         call->appended(call->context, &appended);
     }
     else if (call->joined != NULL) {
-        struct cw_store_joined joined = {
+        struct cw_store_join_result joined = {
             .status = (enum cw_store_status)answer->status,
             .generation = answer->generation,
             .partitions = answer->partitions.partitions_val,
@@ -167,7 +167,7 @@
 }
 
 static void
-on_direct_appended(void *context, const struct cw_store_appended *result)
+on_direct_appended(void *context, const struct cw_store_append_result *result)
 {
     struct relay_call *call = context;
 
@@ -197,7 +197,7 @@
 }
 
 static void
-on_direct_joined(void *context, const struct cw_store_joined *result)
+on_direct_joined(void *context, const struct cw_store_join_result *result)
 {
     struct relay_call *call = context;
 
@@ -412,7 +412,7 @@
 }
 
 static void
-relay_newest(struct cw_store *base, const struct cw_store_newest *newest)
+relay_newest(struct cw_store *base, const struct cw_store_read_newest *newest)
 {
     struct relay_call *call =
         call_new(base, CW_RELAY_NEWEST, newest->timeout_ms, newest->context);
@@ -539,11 +539,11 @@
 }
 
 void
-cw_relay_readable(struct cw_relay *relay)
+cw_relay_receive(struct cw_relay *relay)
 {
-    pthread_mutex_lock(relay->options.engine);
+    pthread_mutex_lock(relay->options.engine_lock);
     relay_rpc_receive(relay->rpc);
-    pthread_mutex_unlock(relay->options.engine);
+    pthread_mutex_unlock(relay->options.engine_lock);
 }
 
 struct timespec
@@ -576,7 +576,7 @@
 }
 
 bool
-cw_relay_isolated(const struct cw_relay *relay)
+cw_relay_is_isolated(const struct cw_relay *relay)
 {
     return relay->isolated;
 }
--- a/src/relay/relay_issue.c
+++ b/src/relay/relay_issue.c
@@ -57,7 +57,7 @@
 issue_newest(struct cw_store *store, const struct cw_relay_request *request,
              unsigned timeout_ms, const struct relay_handlers *handlers)
 {
-    struct cw_store_newest call = {
+    struct cw_store_read_newest call = {
         .topic = request->topic,
         .partition = request->partition,
         .after = request->after[0] != '\0' ? request->after : NULL,
--- a/src/relay/relay_peers.c
+++ b/src/relay/relay_peers.c
@@ -98,7 +98,7 @@
 }
 
 char *
-cw_relay_member(const char *vm, const char *address, uint64_t life)
+cw_relay_member_name(const char *vm, const char *address, uint64_t life)
 {
     return g_strdup_printf("%s/%016" PRIx64 "@%s", vm, life, address);
 }
@@ -143,7 +143,7 @@
 }
 
 static void
-on_members(void *context, const struct cw_store_members *result)
+on_members(void *context, const struct cw_store_member_list *result)
 {
     struct cw_relay *relay = context;
     struct timespec now = relay_now(relay);
@@ -279,12 +279,12 @@
 /* ---- the key ---- */
 
 static void
-on_key_stored(void *context, const struct cw_store_appended *result)
+on_key_stored(void *context, const struct cw_store_append_result *result)
 {
     struct cw_relay *relay = context;
 
     /* Whoever was first: the next look finds the key. */
-    cw_log_info("relay_key", "append=%s",
+    cw_log_info("relay_key_append", "append=%s",
                 cw_store_status_name(result->status));
     relay->key_in_flight = false;
     relay->key_due = relay_now(relay);
@@ -335,7 +335,7 @@
 void
 relay_ask_key(struct cw_relay *relay)
 {
-    struct cw_store_newest newest = {
+    struct cw_store_read_newest newest = {
         .topic = SECRET_TOPIC,
         .timeout_ms = PROBE_TIMEOUT_MS,
         .done = on_key,
--- a/src/relay/relay_rpc.c
+++ b/src/relay/relay_rpc.c
@@ -212,7 +212,7 @@
     if (!send_message(rpc, &caller->address, &message,
                       (xdrproc_t)xdr_cw_relay_answer, answer))
     {
-        cw_log_warning("relay_answer", "outcome=not_sent records=%u",
+        cw_log_warning("relay_answer_failed", "outcome=not_sent records=%u",
                        answer->records.records_len);
     }
 }
--- a/src/relay/relay_serve.c
+++ b/src/relay/relay_serve.c
@@ -37,7 +37,7 @@
 }
 
 static void
-on_appended(void *context, const struct cw_store_appended *result)
+on_appended(void *context, const struct cw_store_append_result *result)
 {
     struct cw_relay_answer answer = {
         .status = result->status,
@@ -86,7 +86,7 @@
 }
 
 static void
-on_joined(void *context, const struct cw_store_joined *result)
+on_joined(void *context, const struct cw_store_join_result *result)
 {
     struct cw_relay_answer answer = {.status = result->status,
                                      .generation = result->generation};
--- a/src/replica/follower.c
+++ b/src/replica/follower.c
@@ -240,7 +240,7 @@
     follower->due = cw_time_add_ms(
         now, follower->hurry || behind
                  ? 0
-                 : MAX(follower->options.pace_ms, follower->slow_ms));
+                 : MAX(follower->options.read_interval_ms, follower->slow_ms));
     if (handler->advanced != NULL) {
         handler->advanced(handler->context);
     }
@@ -249,7 +249,7 @@
 static void
 send_newest(struct cw_follower *follower)
 {
-    struct cw_store_newest call = {
+    struct cw_store_read_newest call = {
         .topic = follower->options.topic,
         .partition = follower->options.partition,
         .after = follower->after,
@@ -319,7 +319,7 @@
 }
 
 struct timespec
-cw_follower_fresh(const struct cw_follower *follower)
+cw_follower_fresh_as_of(const struct cw_follower *follower)
 {
     return follower->fresh;
 }
@@ -337,13 +337,14 @@
 }
 
 void
-cw_follower_set_pace(struct cw_follower *follower, unsigned pace_ms)
+cw_follower_set_read_interval(struct cw_follower *follower,
+                              unsigned read_interval_ms)
 {
-    follower->options.pace_ms = pace_ms;
+    follower->options.read_interval_ms = read_interval_ms;
 }
 
 void
-cw_follower_hurry(struct cw_follower *follower)
+cw_follower_read_now(struct cw_follower *follower)
 {
     follower->hurry = true;
     follower->due = cw_time_from_ms(0);
--- a/src/replica/replica.c
+++ b/src/replica/replica.c
@@ -15,7 +15,7 @@
     struct cw_replica_listener listener;
     struct cw_clock *clock;
     GHashTable *jobs;
-    GHashTable *notes;  /* worker -> struct cw_replica_note */
+    GHashTable *notes;  /* worker -> struct cw_replica_lease_note */
     GHashTable *epochs; /* VM -> struct cw_replica_epoch */
 };
 
@@ -70,8 +70,8 @@
 static void
 tell_changed(struct cw_replica *replica, struct cw_replica_job *job)
 {
-    if (replica->listener.changed != NULL && job->spec != NULL) {
-        replica->listener.changed(replica->listener.context, job);
+    if (replica->listener.job_changed != NULL && job->spec != NULL) {
+        replica->listener.job_changed(replica->listener.context, job);
     }
 }
 
@@ -143,8 +143,8 @@
         return;
     }
     g_ptr_array_add(job->hints, hint);
-    if (replica->listener.hinted != NULL) {
-        replica->listener.hinted(replica->listener.context, job, hint);
+    if (replica->listener.hint_received != NULL) {
+        replica->listener.hint_received(replica->listener.context, job, hint);
     }
 }
 
@@ -195,8 +195,8 @@
 static void
 tell_owner_wrote(struct cw_replica *replica)
 {
-    if (replica->listener.owner_wrote != NULL) {
-        replica->listener.owner_wrote(replica->listener.context);
+    if (replica->listener.owner_record_received != NULL) {
+        replica->listener.owner_record_received(replica->listener.context);
     }
 }
 
@@ -204,7 +204,7 @@
 drop_note(struct cw_replica *replica, const struct cw_store_record *record)
 {
     const char *worker = record->key + 1;
-    const struct cw_replica_note *note =
+    const struct cw_replica_lease_note *note =
         g_hash_table_lookup(replica->notes, worker);
 
     if (note != NULL && note->offset < record->offset) {
@@ -217,10 +217,10 @@
 apply_note(struct cw_replica *replica, const struct cw_store_record *record)
 {
     const char *worker = record->key + 1;
-    const struct cw_replica_note *known =
+    const struct cw_replica_lease_note *known =
         g_hash_table_lookup(replica->notes, worker);
     struct cw_note_record value = {0};
-    struct cw_replica_note *note;
+    struct cw_replica_lease_note *note;
 
     if (known != NULL && record->offset <= known->offset) {
         return;
@@ -233,7 +233,7 @@
                      worker, record->offset);
         return;
     }
-    note = g_new0(struct cw_replica_note, 1);
+    note = g_new0(struct cw_replica_lease_note, 1);
     note->offset = record->offset;
     note->read_at = cw_clock_now(replica->clock);
     note->left_ms = value.left_ms;
@@ -275,7 +275,7 @@
         if (record->key[0] == CW_WORK_KEY_RECORD) {
             g_hash_table_remove(replica->jobs, id);
         }
-        else if (record->key[0] == CW_WORK_KEY_NOTE) {
+        else if (record->key[0] == CW_WORK_KEY_LEASE_NOTE) {
             drop_note(replica, record);
         }
         else if (record->key[0] == CW_WORK_KEY_EPOCH) {
@@ -297,7 +297,7 @@
     case CW_WORK_KEY_VM:
         apply_vm(replica, record);
         break;
-    case CW_WORK_KEY_BEAT:
+    case CW_WORK_KEY_HEARTBEAT:
         tell_owner_wrote(replica);
         break;
     case CW_WORK_KEY_EPOCH:
@@ -309,7 +309,7 @@
     case CW_WORK_KEY_HINT:
         apply_hint(replica, id, record);
         break;
-    case CW_WORK_KEY_NOTE:
+    case CW_WORK_KEY_LEASE_NOTE:
         apply_note(replica, record);
         tell_owner_wrote(replica);
         break;
@@ -367,10 +367,10 @@
         .name = "jobs",
         .store = options->store,
         .clock = options->clock,
-        .topic = CW_WORK_TOPIC,
+        .topic = CW_JOBS_TOPIC,
         .partition = options->partition,
         .wait_ms = READ_WAIT_MS,
-        .pace_ms = options->pace_ms,
+        .read_interval_ms = options->read_interval_ms,
         .handler = {.reset = on_reset,
                     .loaded = on_advanced,
                     .record = on_record,
@@ -414,7 +414,7 @@
 }
 
 struct cw_replica_job *
-cw_replica_find(const struct cw_replica *replica, const char *id)
+cw_replica_find_job(const struct cw_replica *replica, const char *id)
 {
     return g_hash_table_lookup(replica->jobs, id);
 }
@@ -426,7 +426,7 @@
 }
 
 GHashTable *
-cw_replica_notes(const struct cw_replica *replica)
+cw_replica_lease_notes(const struct cw_replica *replica)
 {
     return replica->notes;
 }
@@ -452,8 +452,8 @@
 }
 
 unsigned
-cw_replica_waiting(const struct cw_replica *replica, const char *queue,
-                   const char *account)
+cw_replica_count_waiting(const struct cw_replica *replica, const char *queue,
+                         const char *account)
 {
     GHashTableIter iterator;
     gpointer value;
--- a/src/replica/replica_epochs.c
+++ b/src/replica/replica_epochs.c
@@ -110,14 +110,14 @@
 }
 
 bool
-cw_replica_epoch_is_over(const struct cw_replica_epoch *epoch)
+cw_replica_epoch_has_ended(const struct cw_replica_epoch *epoch)
 {
     return epoch->end_epoch >= epoch->epoch;
 }
 
 int64_t
-cw_replica_epoch_left_ms(const struct cw_replica_epoch *epoch,
-                         const char *worker)
+cw_replica_epoch_lease_left_ms(const struct cw_replica_epoch *epoch,
+                               const char *worker)
 {
     gpointer left_ms;
 
--- a/src/routing/cordons.c
+++ b/src/routing/cordons.c
@@ -39,7 +39,8 @@
 }
 
 void
-cw_cordons_follow(struct cw_cordons *cordons, struct cw_follower *follower)
+cw_cordons_set_follower(struct cw_cordons *cordons,
+                        struct cw_follower *follower)
 {
     cordons->follower = follower;
 }
@@ -162,7 +163,7 @@
 }
 
 bool
-cw_cordons_permit(const struct cw_cordons *cordons, const char *dc)
+cw_cordons_permits_dc(const struct cw_cordons *cordons, const char *dc)
 {
     return g_hash_table_size(cordons->by_dc) == 0 ||
            !g_hash_table_contains(cordons->by_dc, dc);
@@ -180,13 +181,13 @@
     if (cordons->follower == NULL || !cw_follower_loaded(cordons->follower)) {
         return INT64_MAX;
     }
-    return cw_time_diff_ms(cw_follower_fresh(cordons->follower), now);
+    return cw_time_diff_ms(cw_follower_fresh_as_of(cordons->follower), now);
 }
 
 void
-cw_cordons_hurry(struct cw_cordons *cordons)
+cw_cordons_read_now(struct cw_cordons *cordons)
 {
     if (cordons->follower != NULL) {
-        cw_follower_hurry(cordons->follower);
+        cw_follower_read_now(cordons->follower);
     }
 }
--- a/src/routing/routing.c
+++ b/src/routing/routing.c
@@ -44,11 +44,11 @@
 
     routing->references = 1;
     routing->body_bytes_max = DEFAULT_BODY_BYTES_MAX;
-    routing->closed = g_ptr_array_new_with_free_func(g_free);
+    routing->closed_dcs = g_ptr_array_new_with_free_func(g_free);
     routing->queues = g_ptr_array_new_with_free_func(queue_free);
     routing->services = g_ptr_array_new_with_free_func(service_free);
     routing->accounts = g_ptr_array_new_with_free_func(account_free);
-    routing->by_key = g_hash_table_new(g_str_hash, g_str_equal);
+    routing->accounts_by_key = g_hash_table_new(g_str_hash, g_str_equal);
     return routing;
 }
 
@@ -65,8 +65,8 @@
     if (routing == NULL || !g_atomic_int_dec_and_test(&routing->references)) {
         return;
     }
-    g_hash_table_unref(routing->by_key);
-    g_ptr_array_unref(routing->closed);
+    g_hash_table_unref(routing->accounts_by_key);
+    g_ptr_array_unref(routing->closed_dcs);
     g_ptr_array_unref(routing->queues);
     g_ptr_array_unref(routing->services);
     g_ptr_array_unref(routing->accounts);
@@ -103,14 +103,14 @@
 }
 
 void
-cw_routing_seal(struct cw_routing *routing)
+cw_routing_finish(struct cw_routing *routing)
 {
     for (guint i = 0; i < routing->accounts->len; i++) {
         struct cw_account *account = routing->accounts->pdata[i];
 
         for (guint k = 0; k < account->keys->len; k++) {
-            g_hash_table_insert(routing->by_key, account->keys->pdata[k],
-                                account);
+            g_hash_table_insert(routing->accounts_by_key,
+                                account->keys->pdata[k], account);
         }
     }
 }
@@ -126,8 +126,8 @@
 }
 
 const struct cw_queue *
-cw_routing_match(const struct cw_routing *routing, const char *host,
-                 const char *path)
+cw_routing_find_queue(const struct cw_routing *routing, const char *host,
+                      const char *path)
 {
     const struct cw_queue *best = NULL;
     size_t best_length = 0;
@@ -147,13 +147,13 @@
 }
 
 const struct cw_account *
-cw_routing_account(const struct cw_routing *routing, const char *key)
+cw_routing_account_by_key(const struct cw_routing *routing, const char *key)
 {
-    return g_hash_table_lookup(routing->by_key, key);
+    return g_hash_table_lookup(routing->accounts_by_key, key);
 }
 
 const struct cw_account *
-cw_routing_account_named(const struct cw_routing *routing, const char *name)
+cw_routing_account_by_name(const struct cw_routing *routing, const char *name)
 {
     for (guint i = 0; i < routing->accounts->len; i++) {
         const struct cw_account *account = routing->accounts->pdata[i];
@@ -166,15 +166,15 @@
 }
 
 bool
-cw_routing_permits(const struct cw_routing *routing, const char *account,
-                   const char *dc)
+cw_routing_account_permits_dc(const struct cw_routing *routing,
+                              const char *account, const char *dc)
 {
     const struct cw_account *found;
 
-    if (!routing->confined) {
+    if (!routing->enforces_residency) {
         return true;
     }
-    found = cw_routing_account_named(routing, account);
+    found = cw_routing_account_by_name(routing, account);
     if (found == NULL) {
         return false;
     }
@@ -183,15 +183,15 @@
 }
 
 bool
-cw_routing_is_open(const struct cw_routing *routing, const char *dc)
+cw_routing_dc_is_open(const struct cw_routing *routing, const char *dc)
 {
-    return routing->closed->len == 0 ||
-           !g_ptr_array_find_with_equal_func(routing->closed, dc, g_str_equal,
-                                             NULL);
+    return routing->closed_dcs->len == 0 ||
+           !g_ptr_array_find_with_equal_func(routing->closed_dcs, dc,
+                                             g_str_equal, NULL);
 }
 
 const struct cw_service *
-cw_routing_service(const struct cw_routing *routing, const char *name)
+cw_routing_service_by_name(const struct cw_routing *routing, const char *name)
 {
     for (guint i = 0; i < routing->services->len; i++) {
         const struct cw_service *service = routing->services->pdata[i];
--- a/src/vm/internal/vm_private.h
+++ b/src/vm/internal/vm_private.h
@@ -21,7 +21,7 @@
 struct cw_vm {
     struct cw_settings *settings;
     const char *settings_path;
-    pthread_mutex_t engine;
+    pthread_mutex_t engine_lock;
     bool running; /* under the lock: all parts exist */
     struct cw_clock *clock;
     struct cw_http_client *client;
@@ -39,7 +39,7 @@
     struct cw_owner *owner;
     struct cw_counters counters;
     unsigned contracts_unserved; /* of the platform, in force */
-    struct platform_callers handler;
+    struct platform_call_handler handler;
     struct cw_settings_secrets *secrets; /* with our own interface */
     struct cw_api *api;                  /* our own interface, or NULL */
 };
--- a/src/vm/vm.c
+++ b/src/vm/vm.c
@@ -130,7 +130,7 @@
 {
     struct cw_vm *vm = context;
 
-    cw_relay_readable(vm->relay);
+    cw_relay_receive(vm->relay);
 }
 
 /* Reads the log of jobs on; returns when it is to be called next.  With the
@@ -159,7 +159,7 @@
     struct timespec next;
     int64_t wait_ms = CW_MS_PER_S;
 
-    pthread_mutex_lock(&vm->engine);
+    pthread_mutex_lock(&vm->engine_lock);
     if (vm->running) {
         now = cw_clock_now(vm->clock);
         next = tick_jobs(vm, now);
@@ -170,14 +170,14 @@
             cw_follower_tick(vm->routing, now);
             cw_time_earlier(&next, cw_follower_due(vm->routing));
         }
-        cw_entry_set_isolated(vm->entry, cw_relay_isolated(vm->relay));
+        cw_entry_set_isolated(vm->entry, cw_relay_is_isolated(vm->relay));
         cw_time_earlier(&next, cw_entry_tick(vm->entry, now));
         cw_time_earlier(&next, cw_owner_tick(vm->owner, now));
         cw_time_earlier(&next, cw_relay_tick(vm->relay, now));
         /* Rounded up: waking a little early would only cost another turn. */
         wait_ms = cw_time_diff_ms(cw_clock_now(vm->clock), next) + 1;
     }
-    pthread_mutex_unlock(&vm->engine);
+    pthread_mutex_unlock(&vm->engine_lock);
     return (unsigned)CLAMP(wait_ms, 0, CW_MS_PER_S);
 }
 
@@ -197,7 +197,7 @@
         .replica = vm->replica,
         .owner = vm->owner,
         .counters = &vm->counters,
-        .engine = &vm->engine,
+        .engine_lock = &vm->engine_lock,
         .chain = {.trusted = settings->api->trusted_operators,
                   .trusted_count = settings->api->trusted_operators_count,
                   .seal_key = vm->secrets->seal_key},
@@ -220,18 +220,19 @@
 
 /* Callers of our own interface wait for the end; the platform's ask. */
 static unsigned
-standby_pace_ms(const struct cw_settings *settings)
+standby_read_interval_ms(const struct cw_settings *settings)
 {
-    return settings->api != NULL ? CW_STANDBY_PACE_MS : CW_ASKED_PACE_MS;
+    return settings->api != NULL ? CW_STANDBY_READ_INTERVAL_MS
+                                 : CW_ON_DEMAND_READ_INTERVAL_MS;
 }
 
 /* Connections to keep open.  An owner needs two a worker: with fewer it would
  * make new ones all the time. */
 static unsigned
-connections_most(const struct cw_settings *settings)
+pool_connections_max(const struct cw_settings *settings)
 {
     if (settings->descriptors <= RESERVED_DESCRIPTORS) {
-        return CW_HTTP_CONNECTIONS;
+        return CW_HTTP_POOL_CONNECTIONS_DEFAULT;
     }
     return (settings->descriptors - RESERVED_DESCRIPTORS) * CLIENT_PARTS /
            ALL_PARTS;
@@ -245,9 +246,10 @@
     char *member;
     struct cw_store *store;
     struct platform_options platform = {.client = vm->client,
-                                        .engine = &vm->engine};
-    struct cw_replica_options replica = {.clock = vm->clock,
-                                         .pace_ms = standby_pace_ms(settings)};
+                                        .engine_lock = &vm->engine_lock};
+    struct cw_replica_options replica = {
+        .clock = vm->clock,
+        .read_interval_ms = standby_read_interval_ms(settings)};
     struct cw_entry_options entry = {.clock = vm->clock,
                                      .counters = &vm->counters};
     struct cw_owner_options owner = {
@@ -260,9 +262,9 @@
         .report_ms = settings->bounds.report_ms,
         .cordon_ms = settings->bounds.cordon_ms,
         .capacity_milli = capacity_of(&settings->processor),
-        .standby_pace_ms = standby_pace_ms(settings),
-        .tells_places = settings->api != NULL,
-        .connections = connections_most(settings),
+        .standby_read_interval_ms = standby_read_interval_ms(settings),
+        .exposes_placements = settings->api != NULL,
+        .connections_max = pool_connections_max(settings),
         .retain_ms =
             (settings->bounds.retain_s + RETAIN_EXTRA_S) * CW_MS_PER_S,
     };
@@ -293,7 +295,8 @@
     /* A name for this life of the process: a restarted one is another
      * member, so that no two share a generation and with it an epoch. */
     randombytes_buf(&life, sizeof(life));
-    member = cw_relay_member(settings->vm, cw_relay_address(vm->relay), life);
+    member =
+        cw_relay_member_name(settings->vm, cw_relay_address(vm->relay), life);
     if (settings->api == NULL) {
         vm->cordons = cw_cordons_create(&cordons);
     }
@@ -308,10 +311,10 @@
     if (settings->api == NULL) {
         routing.store = store;
         vm->routing = cw_follower_create(&routing);
-        cw_cordons_follow(vm->cordons, vm->routing);
+        cw_cordons_set_follower(vm->cordons, vm->routing);
     }
     vm->handler.entry = vm->entry;
-    vm->handler.engine = &vm->engine;
+    vm->handler.engine_lock = &vm->engine_lock;
     if (settings->api != NULL) {
         create_api(vm, store);
     }
@@ -326,7 +329,7 @@
         .direct = vm->platform_store,
         .clock = vm->clock,
         .counters = &vm->counters,
-        .engine = &vm->engine,
+        .engine_lock = &vm->engine_lock,
         .address = vm->settings->listen.inner,
         .group = CW_OWNER_GROUP,
     };
@@ -342,29 +345,29 @@
 static bool
 start(struct cw_vm *vm)
 {
-    struct platform_options platform = {.engine = &vm->engine,
+    struct platform_options platform = {.engine_lock = &vm->engine_lock,
                                         .store_address = vm->settings->store};
     struct cw_http_client_options client = {
         .tick = on_tick,
         .readable = on_message,
         .context = vm,
-        .connections_most = connections_most(vm->settings)};
+        .pool_connections_max = pool_connections_max(vm->settings)};
 
     vm->platform_store = platform_store_new(&platform);
     if (!create_relay(vm)) {
         return false;
     }
     client.descriptor = cw_relay_descriptor(vm->relay);
-    pthread_mutex_lock(&vm->engine);
+    pthread_mutex_lock(&vm->engine_lock);
     vm->client = cw_http_client_create(&client);
     if (vm->client == NULL) {
-        pthread_mutex_unlock(&vm->engine);
+        pthread_mutex_unlock(&vm->engine_lock);
         return false;
     }
     platform_store_set_client(vm->platform_store, vm->client);
     create_engine(vm);
     vm->running = true;
-    pthread_mutex_unlock(&vm->engine);
+    pthread_mutex_unlock(&vm->engine_lock);
     cw_http_client_wake(vm->client);
     return vm_listen(vm);
 }
@@ -401,12 +404,12 @@
 {
     unsigned count;
 
-    pthread_mutex_lock(&vm->engine);
+    pthread_mutex_lock(&vm->engine_lock);
     count = cw_entry_pending(vm->entry);
     if (vm->api != NULL) {
-        count += cw_api_waiting(vm->api);
+        count += cw_api_waiting_calls(vm->api);
     }
-    pthread_mutex_unlock(&vm->engine);
+    pthread_mutex_unlock(&vm->engine_lock);
     return count;
 }
 
@@ -415,7 +418,7 @@
 finish_calls(struct cw_vm *vm, struct timespec began, int64_t most_ms)
 {
     while (cw_time_diff_ms(began, cw_clock_now(vm->clock)) < most_ms &&
-           (pending(vm) > 0 || cw_http_server_calls(vm->callers) > 0))
+           (pending(vm) > 0 || cw_http_server_active_calls(vm->callers) > 0))
     {
         nap(LEAVE_STEP_MS);
     }
@@ -430,12 +433,12 @@
     int64_t most_ms =
         (int64_t)vm->settings->bounds.grace_s * CW_MS_PER_S - LEAVE_RESERVE_MS;
 
-    pthread_mutex_lock(&vm->engine);
+    pthread_mutex_lock(&vm->engine_lock);
     cw_entry_leave(vm->entry);
     cw_owner_leave(vm->owner);
-    pthread_mutex_unlock(&vm->engine);
+    pthread_mutex_unlock(&vm->engine_lock);
     cw_http_client_wake(vm->client);
-    cw_http_server_leave(vm->callers);
+    cw_http_server_disable_keepalive(vm->callers);
     cw_log_info("leaving", "pending=%u", pending(vm));
     nap((unsigned)MIN(LEAVE_LEAST_MS, most_ms));
     /* Before the last look at what is held: a call that came in after it
@@ -443,9 +446,9 @@
     cw_http_server_quiesce(vm->callers);
     finish_calls(vm, began, most_ms);
     if (vm->api != NULL) {
-        pthread_mutex_lock(&vm->engine);
-        cw_api_release(vm->api);
-        pthread_mutex_unlock(&vm->engine);
+        pthread_mutex_lock(&vm->engine_lock);
+        cw_api_answer_all_pending(vm->api);
+        pthread_mutex_unlock(&vm->engine_lock);
     }
     finish_calls(vm, began, most_ms + LEAVE_LAST_MS);
 }
@@ -457,15 +460,15 @@
     unsigned unserved = 0;
 
     for (unsigned i = 0; i < settings->contracts_count; i++) {
-        if (!platform_serves_contract(settings->contracts[i])) {
+        if (!platform_supports_contract(settings->contracts[i])) {
             unserved++;
             cw_log_warning("contract_unserved", "name=%s",
                            settings->contracts[i]);
         }
     }
-    pthread_mutex_lock(&vm->engine);
+    pthread_mutex_lock(&vm->engine_lock);
     vm->contracts_unserved = unserved;
-    pthread_mutex_unlock(&vm->engine);
+    pthread_mutex_unlock(&vm->engine_lock);
 }
 
 static void
@@ -523,7 +526,7 @@
     vm->settings_path = path;
     vm->clock = cw_clock_system();
     vm->secrets = secrets;
-    pthread_mutex_init(&vm->engine, NULL);
+    pthread_mutex_init(&vm->engine_lock, NULL);
     if (!start(vm)) {
         cw_log_error("stopped", "reason=not_started");
         return EXIT_START;
--- a/src/vm/vm_listen.c
+++ b/src/vm/vm_listen.c
@@ -31,9 +31,9 @@
     struct cw_vm *vm = context;
     bool ready;
 
-    pthread_mutex_lock(&vm->engine);
-    ready = vm->running && cw_entry_ready(vm->entry);
-    pthread_mutex_unlock(&vm->engine);
+    pthread_mutex_lock(&vm->engine_lock);
+    ready = vm->running && cw_entry_is_ready(vm->entry);
+    pthread_mutex_unlock(&vm->engine_lock);
     cw_http_answer(call, ready ? 200 : 503, "text/plain", "", 0, false);
 }
 
@@ -47,14 +47,14 @@
     unsigned cordons = 0;
     unsigned contracts;
 
-    pthread_mutex_lock(&vm->engine);
+    pthread_mutex_lock(&vm->engine_lock);
     cw_owner_stats(vm->owner, &stats);
     if (vm->cordons != NULL) {
         cordons = cw_cordons_count(vm->cordons);
     }
     contracts = vm->contracts_unserved;
     waiting = cw_entry_pending(vm->entry);
-    pthread_mutex_unlock(&vm->engine);
+    pthread_mutex_unlock(&vm->engine_lock);
     cw_count_print(&vm->counters, out);
     g_string_append_printf(out,
                            "curlewcart_owner_jobs %u\n"
@@ -98,8 +98,8 @@
     *colon = '\0';
     options.address = host;
     options.port = (uint16_t)strtoul(colon + 1, NULL, 10);
-    options.idle_s = CALLER_IDLE_S;
-    options.body_max = CALLER_BODY_BYTES;
+    options.idle_timeout_s = CALLER_IDLE_S;
+    options.body_bytes_max = CALLER_BODY_BYTES;
     options.context = vm;
     server = cw_http_server_create(&options);
     if (server == NULL) {
--- a/src/work/record.c
+++ b/src/work/record.c
@@ -102,7 +102,7 @@
     }
     head->phase = at[3];
     head->started = at[7] != 0;
-    head->ended_ms = (int64_t)cw_bytes_number(at + 8, 8);
+    head->ended_ms = (int64_t)cw_bytes_read_be(at + 8, 8);
     return true;
 }
 
@@ -117,7 +117,7 @@
     if (length < HEAD_BYTES + SIZE_BYTES) {
         return NULL;
     }
-    rest = cw_bytes_number(bytes + HEAD_BYTES, SIZE_BYTES);
+    rest = cw_bytes_read_be(bytes + HEAD_BYTES, SIZE_BYTES);
     if (rest > PLAIN_BYTES_MAX) {
         return NULL;
     }
--- a/src/work/work.c
+++ b/src/work/work.c
@@ -68,7 +68,7 @@
 }
 
 unsigned
-cw_work_chain_ms(const struct cw_work_spec *spec)
+cw_work_critical_path_ms(const struct cw_work_spec *spec)
 {
     unsigned finish[CW_STEPS_MAX] = {0};
     unsigned longest = 0;
--- a/standins/platform_standin.c
+++ b/standins/platform_standin.c
@@ -131,7 +131,7 @@
             "\"clock_ms\":%" PRId64 ",\"born\":%" PRId64 "}",
             worker->reported, worker->dc, CPU_MILLI, MEMORY_MB, ACCELERATORS,
             worker->rack, standin_now_ms(),
-            worker_model_born_ms(
+            worker_model_boot_ms(
                 worker_fleet_find(platform->fleet, worker->id)));
 
         put_record(platform, "keyed.servers", worker->id, text);
@@ -222,8 +222,8 @@
         .address = "127.0.0.1",
         .threads = 1,
         .connections = 256,
-        .idle_s = 60,
-        .body_max = 4 << 20,
+        .idle_timeout_s = 60,
+        .body_bytes_max = 4 << 20,
         .handle = handle,
         .mark = mark,
         .context = context,
--- a/standins/platform_standin.h
+++ b/standins/platform_standin.h
@@ -71,7 +71,7 @@
     struct worker_server *worker;
     struct cw_http_call *call;
     int64_t until_ms;
-    int64_t born_ms; /* of the life of the worker that it was sent to */
+    int64_t boot_ms; /* of the life of the worker that it was sent to */
 };
 
 /* Milliseconds of the steady clock. */
--- a/standins/platform_store.c
+++ b/standins/platform_store.c
@@ -23,7 +23,7 @@
     GArray *records = g_array_new(FALSE, TRUE, sizeof(struct cw_store_record));
 
     while (length > LENGTH_BYTES) {
-        size_t size = cw_bytes_number(bytes, LENGTH_BYTES);
+        size_t size = cw_bytes_read_be(bytes, LENGTH_BYTES);
         size_t key = bytes[LENGTH_BYTES];
         struct cw_store_record record = {0};
 
@@ -62,7 +62,7 @@
         .expected_end =
             expected != NULL ? g_ascii_strtoull(expected, NULL, 10) : 0,
     };
-    struct cw_store_appended result =
+    struct cw_store_append_result result =
         store_model_append(platform->store, &append);
 
     g_array_unref(records);
@@ -71,7 +71,7 @@
     case CW_STORE_FENCED:
         standin_answer(call, 409, json_pack("{s:s}", "reason", "fenced"));
         break;
-    case CW_STORE_SEQUENCE:
+    case CW_STORE_OUT_OF_SEQUENCE:
         standin_answer(call, 409,
                        json_pack("{s:s, s:I}", "reason", "seq", "seq",
                                  (json_int_t)result.expected_sequence));
--- a/standins/platform_workers.c
+++ b/standins/platform_workers.c
@@ -58,7 +58,7 @@
     }
     return json_pack("{s:I, s:I, s:o, s:o}", "clock_ms",
                      (json_int_t)answer->clock_ms, "born",
-                     (json_int_t)answer->born_ms, "running", running, "ended",
+                     (json_int_t)answer->boot_ms, "running", running, "ended",
                      ended);
 }
 
@@ -69,7 +69,7 @@
     static const char *const reasons[] = {[CW_TARGET_FENCED] = "fence",
                                           [CW_TARGET_OLD_RUN] = "old",
                                           [CW_TARGET_LATE] = "late",
-                                          [CW_TARGET_NO_ROOM] = "room",
+                                          [CW_TARGET_NO_CAPACITY] = "room",
                                           [CW_TARGET_NO_TICKET] = "ticket"};
 
     if (answer->status == CW_TARGET_OK) {
@@ -80,7 +80,7 @@
         cw_http_answer(call, 500, "application/json", "{}", strlen("{}"),
                        true);
     }
-    else if (answer->status == CW_TARGET_OTHER_LIFE) {
+    else if (answer->status == CW_TARGET_OTHER_INCARNATION) {
         standin_answer(call, 421, json_object());
     }
     else if (answer->status < (int)G_N_ELEMENTS(reasons) &&
@@ -106,7 +106,7 @@
     const char *task = json_string_value(json_object_get(body, "task"));
     char *rest;
 
-    order->kind = strcmp(path, "/hold") == 0       ? CW_ORDER_HOLD
+    order->kind = strcmp(path, "/hold") == 0       ? CW_ORDER_POLL
                   : strcmp(path, "/run-stop") == 0 ? CW_ORDER_STOP
                                                    : CW_ORDER_START;
     order->id = cw_http_call_header(call, "X-Expect-Instance");
@@ -118,7 +118,7 @@
         (uint64_t)json_integer_value(json_object_get(body, "acked_offset"));
     order->run = (unsigned)json_integer_value(json_object_get(body, "run"));
     order->saved = json_string_value(json_object_get(body, "saved"));
-    if (order->kind == CW_ORDER_HOLD) {
+    if (order->kind == CW_ORDER_POLL) {
         return order->id != NULL;
     }
     if (task == NULL || order->id == NULL) {
@@ -162,14 +162,14 @@
     struct cw_target_order order = {0};
     char *name = NULL;
 
-    waiting->born_ms = cw_http_call_mark(call);
+    waiting->boot_ms = cw_http_call_connection_tag(call);
     if (!decode_order(call, body, &name, &order)) {
         standin_answer(call, 400, json_object());
         goto done;
     }
     keep_payload(platform, &order, body);
     waiting->until_ms +=
-        order.kind == CW_ORDER_HOLD
+        order.kind == CW_ORDER_POLL
             ? json_integer_value(json_object_get(body, "wait_ms"))
             : 0;
     for (;;) {
@@ -186,7 +186,7 @@
         /* What waits in a worker, or on a connection that was made to it, goes
          * with its life. */
         if (!worker_model_dead(worker) &&
-            waiting->born_ms == worker_model_born_ms(worker))
+            waiting->boot_ms == worker_model_boot_ms(worker))
         {
             worker_model_order(worker, &order, standin_fleet_ms(), &answer,
                                running, ended, texts);
@@ -219,13 +219,13 @@
 {
     struct worker_server *server = context;
     const struct worker_model *worker;
-    int64_t born_ms;
+    int64_t boot_ms;
 
     pthread_mutex_lock(&server->platform->lock);
     worker = worker_fleet_find(server->platform->fleet, server->id);
-    born_ms = worker_model_dead(worker) ? 0 : worker_model_born_ms(worker);
+    boot_ms = worker_model_dead(worker) ? 0 : worker_model_boot_ms(worker);
     pthread_mutex_unlock(&server->platform->lock);
-    return born_ms;
+    return boot_ms;
 }
 
 void
--- a/tests/owner_bed.h
+++ b/tests/owner_fixture.h
@@ -6,7 +6,7 @@
 #include "curlewcart/cw_record.h"
 #include "owner_site.h"
 #include "platform/platform.h"
-#include "store_port.h"
+#include "fake_store.h"
 #include "work_spec.h"
 
 #define ID "5c0e7a21d94b36f8"
@@ -23,31 +23,31 @@
     FIRST_BOUND_MS = 6000 + LEASE_MS + 120 + 500
 };
 
-struct bed {
-    struct store_port store;
+struct fixture {
+    struct fake_store store;
     struct cw_clock_manual clock;
     struct cw_counters counters;
     struct cw_replica *replica;
     struct cw_owner *owner;
-    unsigned state_reads; /* reads and loads of the topic of states */
-    bool grows;           /* each read finds another record at the end */
-    unsigned generation;  /* of the group: each VM's life has its own */
-    bool deaf;            /* reads of the log of jobs are not answered */
+    unsigned state_reads;      /* reads and loads of the topic of states */
+    bool log_grows;            /* each read finds another record at the end */
+    unsigned generation;       /* of the group: each VM's life has its own */
+    bool job_reads_unanswered; /* reads of the log of jobs are not answered */
     const char *vm;
 };
 
-static struct bed *current;
+static struct fixture *current;
 
-static inline void
-put(struct bed *bed, const char *topic, const char *key, GByteArray *value);
+static inline void put(struct fixture *fixture, const char *topic,
+                       const char *key, GByteArray *value);
 
 static inline void
-grow(struct bed *bed, const char *topic)
+grow(struct fixture *fixture, const char *topic)
 {
     GByteArray *value = g_byte_array_new();
 
     g_byte_array_append(value, (const guint8 *)"1", 1);
-    put(bed, topic, "c" ID ".1", value);
+    put(fixture, topic, "c" ID ".1", value);
     g_byte_array_unref(value);
 }
 
@@ -58,32 +58,34 @@
 count_read(struct cw_store *store, const struct cw_store_read *call)
 {
     current->state_reads += strcmp(call->topic, CW_STATE_TOPIC) == 0;
-    if (current->grows && strcmp(call->topic, CW_WORK_TOPIC) == 0) {
+    if (current->log_grows && strcmp(call->topic, CW_JOBS_TOPIC) == 0) {
         grow(current, call->topic);
         grow(current, call->topic);
     }
-    if (current->deaf && strcmp(call->topic, CW_WORK_TOPIC) == 0) {
+    if (current->job_reads_unanswered &&
+        strcmp(call->topic, CW_JOBS_TOPIC) == 0) {
         call->done(call->context, &unanswered_read);
         return;
     }
-    store_port_read(store, call);
+    fake_store_read(store, call);
 }
 
 static inline void
-count_newest(struct cw_store *store, const struct cw_store_newest *call)
+count_newest(struct cw_store *store, const struct cw_store_read_newest *call)
 {
     current->state_reads += strcmp(call->topic, CW_STATE_TOPIC) == 0;
-    store_port_newest(store, call);
+    fake_store_newest(store, call);
 }
 
 static inline void
 on_join(struct cw_store *store, const struct cw_store_join *call)
 {
     static const unsigned shard = 0;
-    struct cw_store_joined result = {.status = CW_STORE_OK,
-                                     .generation = current->generation,
-                                     .partitions = &shard,
-                                     .count = current->owner->holds_partition};
+    struct cw_store_join_result result = {
+        .status = CW_STORE_OK,
+        .generation = current->generation,
+        .partitions = &shard,
+        .count = current->owner->partition_assigned};
 
     (void)store;
     call->done(call->context, &result);
@@ -91,77 +93,78 @@
 
 /* A VM starts, and knows nothing but what it reads. */
 static inline void
-vm_begin(struct bed *bed)
+vm_begin(struct fixture *fixture)
 {
-    static const struct cw_targets_ops orders = {.order = keep_order};
+    static const struct cw_targets_ops orders = {.order = record_order};
     static struct cw_targets targets = {.ops = &orders};
-    struct cw_replica_options replica = {.clock = &bed->clock.base,
-                                         .store = &bed->store.base};
+    struct cw_replica_options replica = {.clock = &fixture->clock.base,
+                                         .store = &fixture->store.base};
     struct cw_owner_options options = {.codec = platform_codec(),
-                                       .clock = &bed->clock.base,
-                                       .counters = &bed->counters,
-                                       .store = &bed->store.base,
+                                       .clock = &fixture->clock.base,
+                                       .counters = &fixture->counters,
+                                       .store = &fixture->store.base,
                                        .targets = &targets,
-                                       .vm = bed->vm,
+                                       .vm = fixture->vm,
                                        .member = "m",
                                        .member_ttl_ms = 1000,
                                        .lease_ms = LEASE_MS,
                                        .retain_ms = 100000};
 
-    bed->replica = cw_replica_create(&replica);
-    options.replica = bed->replica;
-    bed->owner = cw_owner_create(&options);
+    fixture->replica = cw_replica_create(&replica);
+    options.replica = fixture->replica;
+    fixture->owner = cw_owner_create(&options);
 }
 
 static inline void
-vm_end(struct bed *bed)
+vm_end(struct fixture *fixture)
 {
-    answer_rest();
-    cw_owner_free(bed->owner);
-    cw_replica_free(bed->replica);
+    answer_remaining();
+    cw_owner_free(fixture->owner);
+    cw_replica_free(fixture->replica);
 }
 
 static inline void
-bed_begin(struct bed *bed)
+fixture_begin(struct fixture *fixture)
 {
     static struct cw_store_ops ops;
 
-    memset(bed, 0, sizeof(*bed));
-    bed->generation = EPOCH;
-    bed->vm = "this";
+    memset(fixture, 0, sizeof(*fixture));
+    fixture->generation = EPOCH;
+    fixture->vm = "this";
     cw_log_setup("error", "test");
-    ops = store_port_ops;
+    ops = fake_store_ops;
     ops.join = on_join;
     ops.read = count_read;
     ops.newest = count_newest;
-    bed->store.base.ops = &ops;
-    bed->store.model = store_model_create(1);
-    cw_clock_manual_init(&bed->clock);
-    bed->clock.now = cw_time_from_ms(START_MS);
-    vm_begin(bed);
-    current = bed;
+    fixture->store.base.ops = &ops;
+    fixture->store.model = store_model_create(1);
+    cw_clock_manual_init(&fixture->clock);
+    fixture->clock.now = cw_time_from_ms(START_MS);
+    vm_begin(fixture);
+    current = fixture;
 }
 
 static inline void
-bed_end(struct bed *bed)
+fixture_end(struct fixture *fixture)
 {
-    vm_end(bed);
-    store_model_free(bed->store.model);
+    vm_end(fixture);
+    store_model_free(fixture->store.model);
 }
 
 static inline void
-put(struct bed *bed, const char *topic, const char *key, GByteArray *value)
+put(struct fixture *fixture, const char *topic, const char *key,
+    GByteArray *value)
 {
     struct cw_store_record record = {
         .key = key, .value = value->data, .length = value->len};
     struct cw_store_append append = {
         .topic = topic, .records = &record, .count = 1};
 
-    store_model_append(bed->store.model, &append);
+    store_model_append(fixture->store.model, &append);
 }
 
 static inline void
-put_spec(struct bed *bed)
+put_spec(struct fixture *fixture)
 {
     const struct work_spec_options options = {.id = ID,
                                               .tasks = TASKS,
@@ -170,13 +173,13 @@
                                               .stretch_milli = 2000};
     GByteArray *bytes = work_spec_encode(&options);
 
-    put(bed, CW_WORK_TOPIC, "s" ID, bytes);
+    put(fixture, CW_JOBS_TOPIC, "s" ID, bytes);
     g_byte_array_unref(bytes);
 }
 
 /* A state in which each task has a run on the worker "w". */
 static inline void
-put_state(struct bed *bed, const char *topic, unsigned phase)
+put_state(struct fixture *fixture, const char *topic, unsigned phase)
 {
     static char *workers[] = {(char *)"w"};
     struct cw_task_record tasks[TASKS] = {0};
@@ -204,12 +207,12 @@
     record.workers.workers_val = workers;
     record.ended_ms = cw_work_is_over(phase) ? START_MS : 0;
     bytes = cw_record_encode(&record);
-    put(bed, topic, "r" ID, bytes);
+    put(fixture, topic, "r" ID, bytes);
     g_byte_array_unref(bytes);
 }
 
 static inline void
-put_outcome(struct bed *bed, unsigned phase)
+put_outcome(struct fixture *fixture, unsigned phase)
 {
     struct cw_work_record record = {.phase = phase,
                                     .started = true,
@@ -217,41 +220,42 @@
                                     .result = (char *)""};
     GByteArray *bytes = cw_record_encode(&record);
 
-    put(bed, CW_WORK_TOPIC, "r" ID, bytes);
+    put(fixture, CW_JOBS_TOPIC, "r" ID, bytes);
     g_byte_array_unref(bytes);
 }
 
 static inline void
-run(struct bed *bed, unsigned ms)
+run(struct fixture *fixture, unsigned ms)
 {
     for (unsigned passed = 0; passed < ms; passed += STEP_MS) {
-        bed->clock.now = cw_time_add_ms(bed->clock.now, STEP_MS);
-        cw_follower_tick(cw_replica_follower(bed->replica), bed->clock.now);
-        cw_owner_tick(bed->owner, bed->clock.now);
+        fixture->clock.now = cw_time_add_ms(fixture->clock.now, STEP_MS);
+        cw_follower_tick(cw_replica_follower(fixture->replica),
+                         fixture->clock.now);
+        cw_owner_tick(fixture->owner, fixture->clock.now);
     }
 }
 
 static inline void
-take_over(struct bed *bed)
+take_over(struct fixture *fixture)
 {
-    bed->owner->generation = bed->generation;
-    bed->owner->holds_partition = true;
-    owner_begin(bed->owner, bed->clock.now);
-    run(bed, 200);
+    fixture->owner->generation = fixture->generation;
+    fixture->owner->partition_assigned = true;
+    owner_take_over(fixture->owner, fixture->clock.now);
+    run(fixture, 200);
 }
 
 /* The worker of all runs. */
 static inline struct owner_target *
-the_worker(const struct bed *bed)
+the_worker(const struct fixture *fixture)
 {
-    return g_hash_table_lookup(bed->owner->targets, "w");
+    return g_hash_table_lookup(fixture->owner->targets, "w");
 }
 
 /* It is reported again, and can be asked. */
 static inline void
-list_worker(struct bed *bed)
+make_worker_reachable(struct fixture *fixture)
 {
-    struct owner_target *target = the_worker(bed);
+    struct owner_target *target = the_worker(fixture);
 
     g_free(target->address);
     target->address = g_strdup("a");
@@ -262,18 +266,18 @@
 }
 
 static inline struct owner_job *
-the_job(struct bed *bed)
+the_job(struct fixture *fixture)
 {
-    return g_hash_table_lookup(bed->owner->jobs, ID);
+    return g_hash_table_lookup(fixture->owner->jobs, ID);
 }
 
 static inline unsigned
-states_kept(struct bed *bed)
+stored_state_count(struct fixture *fixture)
 {
     struct store_model_page page;
     unsigned count;
 
-    store_model_newest(bed->store.model, CW_STATE_TOPIC, NULL, &page);
+    store_model_newest(fixture->store.model, CW_STATE_TOPIC, NULL, &page);
     count = (unsigned)page.page.count;
     store_model_page_clear(&page);
     return count;
@@ -282,12 +286,12 @@
 /* Answers all looks under way: each task runs.  Returns the latest end of a
  * lease that they gave. */
 static inline int64_t
-answer_all_looks(void)
+answer_all_polls(void)
 {
     struct cw_running running[TASKS] = {0};
     struct cw_target_answer answer = {.status = CW_TARGET_OK,
                                       .clock_ms = WORKER_CLOCK_MS,
-                                      .born_ms = 1,
+                                      .boot_ms = 1,
                                       .running = running,
                                       .running_count = TASKS};
     int64_t lease_ms = 0;
@@ -311,35 +315,35 @@
 
 /* Goes on, with a worker that answers; returns the latest end of a lease. */
 static inline int64_t
-run_all_answered(struct bed *bed, unsigned ms)
+run_answering_polls(struct fixture *fixture, unsigned ms)
 {
     int64_t lease_ms = 0;
 
     for (unsigned passed = 0; passed < ms; passed += STEP_MS) {
         int64_t given_ms;
 
-        run(bed, STEP_MS);
-        given_ms = answer_all_looks();
+        run(fixture, STEP_MS);
+        given_ms = answer_all_polls();
         lease_ms = MAX(lease_ms, given_ms);
     }
     return lease_ms;
 }
 
 static inline int64_t
-lease_left_ms(const struct bed *bed)
+lease_left_ms(const struct fixture *fixture)
 {
-    return cw_time_diff_ms(bed->clock.now, the_worker(bed)->lease_end);
+    return cw_time_diff_ms(fixture->clock.now, the_worker(fixture)->lease_end);
 }
 
 /* The VM ends; another life of it, or another VM, takes over. */
 static inline void
-replace_owner(struct bed *bed, const char *vm)
+replace_owner(struct fixture *fixture, const char *vm)
 {
-    bed->generation++;
-    vm_end(bed);
-    bed->vm = vm;
-    vm_begin(bed);
-    take_over(bed);
+    fixture->generation++;
+    vm_end(fixture);
+    fixture->vm = vm;
+    vm_begin(fixture);
+    take_over(fixture);
 }
 
 #endif
