--- a/tests/owner_site.h
+++ b/tests/owner_site.h
@@ -17,7 +17,7 @@
     struct cw_replica *replica;
     struct cw_owner *owner;
     unsigned jobs;
-    unsigned revived; /* workers added beside the first */
+    unsigned added_workers; /* workers added beside the first */
 };
 
 /* The last order, for a test to answer, and all without an answer. */
@@ -25,7 +25,7 @@
 static GArray *unanswered; /* struct cw_target_order */
 
 static inline void
-keep_order(struct cw_targets *targets, const struct cw_target_order *order)
+record_order(struct cw_targets *targets, const struct cw_target_order *order)
 {
     (void)targets;
     last_order = *order;
@@ -46,7 +46,7 @@
 
 /* Answers what is still under way when a test ends. */
 static inline void
-answer_rest(void)
+answer_remaining(void)
 {
     const struct cw_target_answer answer = {.status = CW_TARGET_UNKNOWN};
 
@@ -87,8 +87,8 @@
     target->capacity.cpu_milli = 32000;
     target->capacity.memory_mb = 65536;
     target->listed = true;
-    target->life.clock_known = true;
-    target->life.clock_at = site->clock.now;
+    target->incarnation.clock_known = true;
+    target->incarnation.clock_at = site->clock.now;
     target->answered = true;
 }
 
@@ -100,7 +100,7 @@
 
     account->name = g_strdup("a");
     account->guaranteed_accelerators = accelerators;
-    cw_routing_seal(routing);
+    cw_routing_finish(routing);
     cw_owner_configure(site->owner, routing);
     cw_routing_unref(routing);
 }
@@ -108,7 +108,7 @@
 static inline void
 site_begin(struct site *site)
 {
-    static const struct cw_targets_ops ops = {.order = keep_order};
+    static const struct cw_targets_ops ops = {.order = record_order};
     static struct cw_targets targets = {.ops = &ops};
     struct cw_replica_options replica = {.clock = &site->clock.base};
     struct cw_owner_options options = {.targets = &targets,
@@ -135,7 +135,7 @@
 
 /* Puts each rack into a data centre of its own: r0 into d0, and so on. */
 static inline void
-site_spread_dcs(struct site *site)
+site_put_racks_in_dcs(struct site *site)
 {
     GHashTableIter iterator;
     gpointer value;
@@ -154,7 +154,7 @@
 static inline void
 site_end(struct site *site)
 {
-    answer_rest();
+    answer_remaining();
     cw_owner_free(site->owner);
     cw_replica_free(site->replica);
 }
@@ -163,15 +163,15 @@
 pass(struct site *site, unsigned ms)
 {
     site->clock.now = cw_time_add_ms(site->clock.now, ms);
-    site->owner->proof_at = site->clock.now;
-    owner_waits_tick(site->owner, site->clock.now);
-    owner_place(site->owner, site->clock.now);
+    site->owner->ownership_confirmed_at = site->clock.now;
+    owner_idle_tick(site->owner, site->clock.now);
+    owner_placement_pass(site->owner, site->clock.now);
 }
 
 /* Hands a job of one step in; the step given is copied. */
 static inline struct owner_job *
-add_job_of(struct site *site, const char *account, unsigned priority,
-           const struct cw_step_spec *like)
+add_job_for_account(struct site *site, const char *account, unsigned priority,
+                    const struct cw_step_spec *like)
 {
     char id[32];
     char key[40];
@@ -210,7 +210,7 @@
 static inline struct owner_job *
 add_job(struct site *site, unsigned priority, const struct cw_step_spec *like)
 {
-    return add_job_of(site, "a", priority, like);
+    return add_job_for_account(site, "a", priority, like);
 }
 
 static inline struct owner_step *
@@ -226,7 +226,7 @@
 }
 
 static inline const struct owner_target *
-place_of(const struct owner_job *job, unsigned task)
+worker_of(const struct owner_job *job, unsigned task)
 {
     const struct owner_run *run = step_of(job)->tasks[task].run;
 
@@ -280,7 +280,7 @@
     struct cw_task_name name = owner_task_name(run->task);
 
     run->phase = RUN_READY;
-    site->owner->proof_at = site->clock.now;
+    site->owner->ownership_confirmed_at = site->clock.now;
     owner_order_queue(site->owner, run->target, CW_ORDER_START, &name,
                       run->number);
     owner_orders_send(site->owner, run->target, site->clock.now);
--- a/tests/test_once.c
+++ b/tests/test_at_most_once.c
@@ -53,11 +53,11 @@
     struct owner_job *fits;
 
     site_begin(&site);
-    too_much = add_job_of(&site, "other", 1, &five);
+    too_much = add_job_for_account(&site, "other", 1, &five);
     ((struct cw_work_spec *)too_much->spec)->once = TRUE;
     pass(&site, 10);
     CU_ASSERT_EQUAL(placed(too_much), 0);
-    fits = add_job_of(&site, "other", 1, &four);
+    fits = add_job_for_account(&site, "other", 1, &four);
     ((struct cw_work_spec *)fits->spec)->once = TRUE;
     pass(&site, 10);
     CU_ASSERT_EQUAL(placed(fits), 4);
@@ -89,7 +89,7 @@
 
     site_begin(&site);
     job = add_once(&site, 1, 1, false);
-    run_of(job, 0)->phase = RUN_UNSURE; /* an earlier owner's */
+    run_of(job, 0)->phase = RUN_INHERITED; /* an earlier owner's */
     owner_run_lost(site.owner, run_of(job, 0), false, "not_listed");
     CU_ASSERT_EQUAL(job->phase, CW_WORK_WAITING);
     pass(&site, 300);
--- a/tests/test_bundle.c
+++ b/tests/test_bundle.c
@@ -136,13 +136,14 @@
                   "{dc: d0, accelerators: 4}, {dc: d1, accelerators: 3}") TAIL,
               NULL);
     struct cw_routing *routing = cw_bundle_routing(bundle, "s");
-    const struct cw_account *account = cw_routing_account_named(routing, "a");
+    const struct cw_account *account =
+        cw_routing_account_by_name(routing, "a");
 
     CU_ASSERT_EQUAL(account->guaranteed_accelerators, 7);
-    CU_ASSERT_TRUE(cw_routing_permits(routing, "a", "d1"));
-    CU_ASSERT_FALSE(cw_routing_permits(routing, "a", "d2"));
-    CU_ASSERT_FALSE(cw_routing_permits(routing, "b", "d0"));
-    CU_ASSERT_TRUE(cw_routing_is_open(routing, "d0"));
+    CU_ASSERT_TRUE(cw_routing_account_permits_dc(routing, "a", "d1"));
+    CU_ASSERT_FALSE(cw_routing_account_permits_dc(routing, "a", "d2"));
+    CU_ASSERT_FALSE(cw_routing_account_permits_dc(routing, "b", "d0"));
+    CU_ASSERT_TRUE(cw_routing_dc_is_open(routing, "d0"));
     cw_routing_unref(routing);
     cw_bundle_unref(bundle);
 }
--- a/tests/test_capacity.c
+++ b/tests/test_capacity.c
@@ -40,10 +40,10 @@
     struct cw_account *account = cw_routing_add_account(routing);
 
     service->name = g_strdup("s");
-    service->guards_capacity = guards;
+    service->enforces_capacity = guards;
     account->name = g_strdup("a");
     account->guaranteed_accelerators = 64;
-    cw_routing_seal(routing);
+    cw_routing_finish(routing);
     cw_owner_configure(site->owner, routing);
     cw_routing_unref(routing);
 }
@@ -97,11 +97,11 @@
     struct cw_target_answer answer = {
         .status = CW_TARGET_OK, .running = &running, .running_count = 1};
 
-    target->hold_due = site->clock.now;
+    target->poll_due = site->clock.now;
     target->answered = false;
-    site->owner->proof_at = site->clock.now;
-    (void)owner_hold_tick(site->owner, target, site->clock.now);
-    CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_HOLD);
+    site->owner->ownership_confirmed_at = site->clock.now;
+    (void)owner_poll_tick(site->owner, target, site->clock.now);
+    CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_POLL);
     g_array_set_size(unanswered, unanswered->len - 1);
     last_order.done(last_order.context, &answer);
 }
@@ -136,7 +136,7 @@
 
     run->phase = RUN_READY;
     owner_order_queue(site->owner, target, CW_ORDER_START, &name, run->number);
-    site->owner->proof_at = site->clock.now;
+    site->owner->ownership_confirmed_at = site->clock.now;
     (void)owner_orders_send(site->owner, target, site->clock.now);
     return (unanswered == NULL || unanswered->len == 0) && placed(job) == 0;
 }
@@ -195,15 +195,15 @@
 
     site_begin(&site);
     target = leave_one(&site);
-    owner_target_take_report(site.owner, &report);
+    owner_target_apply_report(site.owner, &report);
     CU_ASSERT_EQUAL(target->capacity.accelerators, 4);
     job = add_job(&site, 1, &whole);
     pass(&site, 10);
     CU_ASSERT_EQUAL(placed(job), 0);
-    site.owner->place_wanted = false;
+    site.owner->placement_wanted = false;
     report.capacity.accelerators = 8;
-    owner_target_take_report(site.owner, &report);
-    CU_ASSERT_TRUE(site.owner->place_wanted);
+    owner_target_apply_report(site.owner, &report);
+    CU_ASSERT_TRUE(site.owner->placement_wanted);
     pass(&site, 10);
     CU_ASSERT_EQUAL(placed(job), 1);
     site_end(&site);
@@ -228,7 +228,7 @@
     run->phase = RUN_STARTING;
     run->unanswered = 1;
     target->capacity.accelerators = 4;
-    site.owner->proof_at = site.clock.now;
+    site.owner->ownership_confirmed_at = site.clock.now;
     name = owner_task_name(run->task);
     owner_order_queue(site.owner, target, CW_ORDER_START, &name, run->number);
     owner_orders_send(site.owner, target, site.clock.now);
--- a/tests/test_cordons.c
+++ b/tests/test_cordons.c
@@ -12,14 +12,14 @@
 
 #include "owner_site.h"
 #include "platform/platform.h"
-#include "store_port.h"
+#include "fake_store.h"
 
 enum { BOUND_MS = 5000 };
 
 struct bed {
     struct site site;
     struct cw_cordons *cordons;
-    struct store_port port;
+    struct fake_store port;
     struct cw_follower *orders;
     uint64_t offset;
 };
@@ -42,7 +42,7 @@
 
     memset(bed, 0, sizeof(*bed));
     site_begin(&bed->site);
-    site_spread_dcs(&bed->site);
+    site_put_racks_in_dcs(&bed->site);
     bed->cordons = cw_cordons_create(&options);
     bed->site.owner->options.cordons = bed->cordons;
 }
@@ -62,10 +62,10 @@
                     .record = cw_cordons_record,
                     .context = bed->cordons}};
 
-    bed->port.base.ops = &store_port_ops;
+    bed->port.base.ops = &fake_store_ops;
     bed->port.model = store_model_create(1);
     bed->orders = cw_follower_create(&options);
-    cw_cordons_follow(bed->cordons, bed->orders);
+    cw_cordons_set_follower(bed->cordons, bed->orders);
     bed->site.owner->options.cordon_ms = BOUND_MS;
 }
 
@@ -120,7 +120,7 @@
     unsigned count = 0;
 
     for (unsigned i = 0; i < step_of(job)->count; i++) {
-        const struct owner_target *target = place_of(job, i);
+        const struct owner_target *target = worker_of(job, i);
 
         count += target != NULL && strcmp(target->dc, "d2") != 0;
     }
@@ -131,7 +131,7 @@
 static void
 queue_starts(struct site *site, struct owner_job *job)
 {
-    site->owner->proof_at = site->clock.now;
+    site->owner->ownership_confirmed_at = site->clock.now;
     for (unsigned i = 0; i < step_of(job)->count; i++) {
         struct owner_run *run = step_of(job)->tasks[i].run;
         struct cw_task_name name;
@@ -157,12 +157,12 @@
         gpointer value;
 
         site->clock.now = cw_time_add_ms(site->clock.now, 1);
-        site->owner->proof_at = site->clock.now;
+        site->owner->ownership_confirmed_at = site->clock.now;
         g_hash_table_iter_init(&iterator, site->owner->targets);
         while (g_hash_table_iter_next(&iterator, NULL, &value)) {
             struct owner_target *target = value;
 
-            last_order.kind = CW_ORDER_HOLD;
+            last_order.kind = CW_ORDER_POLL;
             (void)owner_orders_send(site->owner, target, site->clock.now);
             sent += last_order.kind == CW_ORDER_START &&
                     strcmp(target->dc, "d2") != 0;
@@ -194,18 +194,18 @@
     struct bed bed;
 
     bed_begin(&bed);
-    CU_ASSERT_TRUE(cw_cordons_permit(bed.cordons, "d0"));
+    CU_ASSERT_TRUE(cw_cordons_permits_dc(bed.cordons, "d0"));
     order_text(&bed, "evacuate/d0", "{}");
     bed.site.clock.now = cw_time_add_ms(bed.site.clock.now, 700);
-    CU_ASSERT_FALSE(cw_cordons_permit(bed.cordons, "d0"));
-    CU_ASSERT_TRUE(cw_cordons_permit(bed.cordons, "d1"));
+    CU_ASSERT_FALSE(cw_cordons_permits_dc(bed.cordons, "d0"));
+    CU_ASSERT_TRUE(cw_cordons_permits_dc(bed.cordons, "d1"));
     CU_ASSERT_EQUAL(cw_cordons_age_ms(bed.cordons, "d0", bed.site.clock.now),
                     700);
     order_text(&bed, "evacuate/d0", "{}"); /* written again */
     CU_ASSERT_EQUAL(cw_cordons_age_ms(bed.cordons, "d0", bed.site.clock.now),
                     700);
     order_text(&bed, "evacuate/d0", NULL);
-    CU_ASSERT_TRUE(cw_cordons_permit(bed.cordons, "d0"));
+    CU_ASSERT_TRUE(cw_cordons_permits_dc(bed.cordons, "d0"));
     CU_ASSERT_EQUAL(cw_cordons_age_ms(bed.cordons, "d0", bed.site.clock.now),
                     -1);
     bed_end(&bed);
@@ -227,8 +227,8 @@
     order_text(&bed, "evacuate/nowhere", "{}");
     order_text(&bed, "evacuate/d0", "\xff\x00[");
     CU_ASSERT_EQUAL(cw_cordons_count(bed.cordons), 2);
-    CU_ASSERT_FALSE(cw_cordons_permit(bed.cordons, "d0"));
-    CU_ASSERT_TRUE(cw_cordons_permit(bed.cordons, "d1"));
+    CU_ASSERT_FALSE(cw_cordons_permits_dc(bed.cordons, "d0"));
+    CU_ASSERT_TRUE(cw_cordons_permits_dc(bed.cordons, "d1"));
     order_text(&bed, "evacuate/nowhere", NULL);
     order_text(&bed, "evacuate/nowhere", NULL);
     CU_ASSERT_EQUAL(cw_cordons_count(bed.cordons), 1);
@@ -246,10 +246,10 @@
     bed.offset = 8;
     order_text(&bed, "evacuate/d0", "{}");
     cw_cordons_record(bed.cordons, &record);
-    CU_ASSERT_FALSE(cw_cordons_permit(bed.cordons, "d0"));
+    CU_ASSERT_FALSE(cw_cordons_permits_dc(bed.cordons, "d0"));
     record.offset = 12;
     cw_cordons_record(bed.cordons, &record);
-    CU_ASSERT_TRUE(cw_cordons_permit(bed.cordons, "d0"));
+    CU_ASSERT_TRUE(cw_cordons_permits_dc(bed.cordons, "d0"));
     bed_end(&bed);
 }
 
@@ -263,10 +263,10 @@
     cordon(&bed);
     cw_cordons_reset(bed.cordons);
     order_text(&bed, "evacuate/d1", "{}");
-    CU_ASSERT_FALSE(cw_cordons_permit(bed.cordons, "d0"));
+    CU_ASSERT_FALSE(cw_cordons_permits_dc(bed.cordons, "d0"));
     cw_cordons_loaded(bed.cordons);
-    CU_ASSERT_TRUE(cw_cordons_permit(bed.cordons, "d0"));
-    CU_ASSERT_FALSE(cw_cordons_permit(bed.cordons, "d1"));
+    CU_ASSERT_TRUE(cw_cordons_permits_dc(bed.cordons, "d0"));
+    CU_ASSERT_FALSE(cw_cordons_permits_dc(bed.cordons, "d1"));
     bed_end(&bed);
 }
 
@@ -285,7 +285,7 @@
     CU_ASSERT_EQUAL(placed(job), PER_RACK);
     CU_ASSERT_EQUAL(placed_in_cordon(job), 0);
     uncordon(&bed);
-    CU_ASSERT_TRUE(bed.site.owner->place_wanted);
+    CU_ASSERT_TRUE(bed.site.owner->placement_wanted);
     pass(&bed.site, 10);
     CU_ASSERT_EQUAL(placed(job), RACKS * PER_RACK);
     bed_end(&bed);
@@ -357,7 +357,7 @@
     pass(&bed.site, 10);
     g_hash_table_iter_init(&iterator, bed.site.owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        hosts += ((struct owner_target *)value)->lower_runs > 0;
+        hosts += ((struct owner_target *)value)->lower_priority_runs > 0;
     }
     CU_ASSERT_EQUAL(placed_in_cordon(low), 0);
     CU_ASSERT_TRUE(hosts <= PER_RACK - 2);
@@ -513,7 +513,7 @@
     bed_begin(&bed);
     read_orders(&bed);
     cw_follower_tick(bed.orders, bed.site.clock.now);
-    bed.port.refuses = CW_STORE_UNKNOWN;
+    bed.port.answer_status = CW_STORE_UNKNOWN;
     store_model_append(bed.port.model, &append);
     bed.site.clock.now = cw_time_add_ms(bed.site.clock.now, BOUND_MS - 500);
     job = add_job(&bed.site, 0, &all);
@@ -522,9 +522,9 @@
     cw_follower_tick(bed.orders, bed.site.clock.now);
     CU_ASSERT_EQUAL(starts_sent_in_cordon(&bed.site, 1000), 0);
     CU_ASSERT_EQUAL(placed(job), RACKS * PER_RACK);
-    bed.port.refuses = CW_STORE_OK;
+    bed.port.answer_status = CW_STORE_OK;
     cw_follower_tick(bed.orders, bed.site.clock.now);
-    CU_ASSERT_FALSE(cw_cordons_permit(bed.cordons, "d0"));
+    CU_ASSERT_FALSE(cw_cordons_permits_dc(bed.cordons, "d0"));
     /* d1 stays open. */
     CU_ASSERT_EQUAL(starts_sent_in_cordon(&bed.site, 1), PER_RACK);
     bed_end(&bed);
--- a/tests/test_crashes.c
+++ b/tests/test_crashes.c
@@ -27,7 +27,7 @@
 static void
 crash(struct site *site, struct owner_target *target)
 {
-    target->gone = true;
+    target->superseded = true;
     owner_target_lost(site->owner, target, "other_life");
 }
 
@@ -51,7 +51,7 @@
         struct owner_target *target;
 
         await_place(site, job);
-        target = (struct owner_target *)place_of(job, 0);
+        target = (struct owner_target *)worker_of(job, 0);
         if (target == NULL) {
             break;
         }
@@ -59,7 +59,7 @@
         starts++;
         pass(site, 10);
         crash(site, target);
-        add_worker(site, RACKS * PER_RACK + site->revived++);
+        add_worker(site, RACKS * PER_RACK + site->added_workers++);
     }
     return starts;
 }
@@ -133,7 +133,7 @@
     }
     confirm_starts(site, works);
     step_of(works)->tasks[0].run->percent = 20;
-    target = (struct owner_target *)place_of(works, 0);
+    target = (struct owner_target *)worker_of(works, 0);
     if (placed(crashes) > 0) {
         owner_run_drop(site->owner, step_of(crashes)->tasks[0].run);
     }
@@ -178,8 +178,8 @@
         await_place(&site, job);
         confirm_starts(&site, job);
         step_of(job)->tasks[0].run->percent = 50;
-        crash(&site, (struct owner_target *)place_of(job, 0));
-        add_worker(&site, RACKS * PER_RACK + site.revived++);
+        crash(&site, (struct owner_target *)worker_of(job, 0));
+        add_worker(&site, RACKS * PER_RACK + site.added_workers++);
         starts++;
     }
     CU_ASSERT_EQUAL(starts, 4);
@@ -198,7 +198,7 @@
     job = add_job(&site, 0, &one);
     pass(&site, 10);
     confirm_starts(&site, job);
-    target = (struct owner_target *)place_of(job, 0);
+    target = (struct owner_target *)worker_of(job, 0);
     target->draining = true;
     crash(&site, target);
     CU_ASSERT_EQUAL(step_of(job)->tasks[0].suspicion, 0);
@@ -216,7 +216,7 @@
     job = add_job(&site, 0, &one);
     pass(&site, 10);
     step_of(job)->tasks[0].run->phase = RUN_STARTING;
-    crash(&site, (struct owner_target *)place_of(job, 0));
+    crash(&site, (struct owner_target *)worker_of(job, 0));
     CU_ASSERT_EQUAL(step_of(job)->tasks[0].suspicion, 0);
     site_end(&site);
 }
@@ -234,7 +234,7 @@
     job = add_job(&site, 0, &one);
     other = add_job(&site, 0, &one);
     pass(&site, 10);
-    target = (struct owner_target *)place_of(job, 0);
+    target = (struct owner_target *)worker_of(job, 0);
     confirm_starts(&site, job);
     owner_run_drop(site.owner, step_of(other)->tasks[0].run);
     owner_run_create(site.owner, &step_of(other)->tasks[0], target,
@@ -262,8 +262,8 @@
         await_place(&site, job);
         confirm_starts(&site, job);
         starts++;
-        crash(&site, (struct owner_target *)place_of(job, 1));
-        add_worker(&site, RACKS * PER_RACK + site.revived++);
+        crash(&site, (struct owner_target *)worker_of(job, 1));
+        add_worker(&site, RACKS * PER_RACK + site.added_workers++);
         for (unsigned i = 0; i < gang.tasks; i++) {
             if (step_of(job)->tasks[i].run != NULL) {
                 owner_run_drop(site.owner, step_of(job)->tasks[i].run);
@@ -309,9 +309,9 @@
         run = step_of(job)->tasks[0].run;
         run->percent = 100;
         pass(&site, 10000);
-        owner_crashes_note(run, site.clock.now);
+        owner_crashes_observe(run, site.clock.now);
         crash(&site, run->target);
-        add_worker(&site, RACKS * PER_RACK + site.revived++);
+        add_worker(&site, RACKS * PER_RACK + site.added_workers++);
     }
     CU_ASSERT_FALSE(cw_work_is_over(job->phase));
     site_end(&site);
@@ -324,7 +324,7 @@
 lose_silent(struct site *site, struct owner_target *target)
 {
     target->listed = false;
-    target->silent = 3;
+    target->unanswered_polls = 3;
     owner_target_lost(site->owner, target, "lease_over");
 }
 
@@ -341,14 +341,14 @@
 
         await_place(&site, job);
         confirm_starts(&site, job);
-        target = (struct owner_target *)place_of(job, 0);
+        target = (struct owner_target *)worker_of(job, 0);
         lose_silent(&site, target);
         CU_ASSERT_TRUE(step_of(job)->tasks[0].suspicion > 0);
-        owner_crashes_heard(site.owner, target, 0);
+        owner_crashes_answered(site.owner, target, 0);
         CU_ASSERT_EQUAL(step_of(job)->tasks[0].suspicion, 0);
         target->listed = true;
         target->answered = true;
-        target->silent = 0;
+        target->unanswered_polls = 0;
     }
     CU_ASSERT_FALSE(cw_work_is_over(job->phase));
     site_end(&site);
@@ -369,7 +369,7 @@
     CU_ASSERT_EQUAL(crash_until_over(&site, job, 1), 1);
     pass(&site, 10);
     confirm_starts(&site, job);
-    before = (struct owner_target *)place_of(job, 0);
+    before = (struct owner_target *)worker_of(job, 0);
     owner_crashes_listed(site.owner, before);
     lose_silent(&site, before);
     pass(&site, 1000);
@@ -398,7 +398,7 @@
     for (unsigned i = 0; i < 3 && !cw_work_is_over(job->phase); i++) {
         await_place(&site, job);
         confirm_starts(&site, job);
-        lose_silent(&site, (struct owner_target *)place_of(job, 0));
+        lose_silent(&site, (struct owner_target *)worker_of(job, 0));
     }
     CU_ASSERT_FALSE(cw_work_is_over(job->phase));
     CU_ASSERT_EQUAL(crash_until_over(&site, job, 1), 1);
@@ -418,7 +418,7 @@
     CU_ASSERT_EQUAL(crash_until_over(&site, job, 1), 1);
     pass(&site, 10);
     confirm_starts(&site, job);
-    lose_silent(&site, (struct owner_target *)place_of(job, 0));
+    lose_silent(&site, (struct owner_target *)worker_of(job, 0));
     pass(&site, 2400);
     CU_ASSERT_EQUAL(placed(job), 0);
     pass(&site, 150);
@@ -440,7 +440,7 @@
     CU_ASSERT_EQUAL(crash_until_over(&site, job, 1), 1);
     pass(&site, 10);
     CU_ASSERT_EQUAL(placed(job), 1);
-    CU_ASSERT_EQUAL(place_of(job, 0)->runs->len, 1);
+    CU_ASSERT_EQUAL(worker_of(job, 0)->runs->len, 1);
     site_end(&site);
 }
 
@@ -463,7 +463,7 @@
     pass(&site, 10);
     CU_ASSERT_EQUAL(run->target->runs->len, 1);
     run->percent = 1;
-    owner_crashes_note(run, site.clock.now);
+    owner_crashes_observe(run, site.clock.now);
     pass(&site, 10);
     CU_ASSERT_EQUAL(run->target->runs->len, 2);
     site_end(&site);
--- a/tests/test_drain.c
+++ b/tests/test_drain.c
@@ -21,10 +21,10 @@
     run->percent = percent;
     run->rate = rate;
     run->rate_known = rate > 0;
-    site->owner->proof_at = site->clock.now;
+    site->owner->ownership_confirmed_at = site->clock.now;
     owner_drain_tick(site->owner, run->target, site->clock.now);
     CU_ASSERT_FALSE(run->stopping);
-    owner_drain_noticed(run->target, REMAINING_MS, site->clock.now);
+    owner_drain_announced(run->target, REMAINING_MS, site->clock.now);
     run->target->draining = true;
     owner_drain_tick(site->owner, run->target, site->clock.now);
     return run;
@@ -67,9 +67,9 @@
     site_begin(&site);
     job = run_job(&site, 1, &gang);
     target = step_of(job)->tasks[1].run->target;
-    owner_drain_noticed(target, REMAINING_MS, site.clock.now);
+    owner_drain_announced(target, REMAINING_MS, site.clock.now);
     target->draining = true;
-    site.owner->proof_at = site.clock.now;
+    site.owner->ownership_confirmed_at = site.clock.now;
     owner_drain_tick(site.owner, target, site.clock.now);
     for (unsigned i = 0; i < 3; i++) {
         CU_ASSERT_TRUE(step_of(job)->tasks[i].run->stopping);
@@ -100,9 +100,9 @@
             run->rate_known = true;
         }
         target = step_of(job)->tasks[0].run->target;
-        owner_drain_noticed(target, REMAINING_MS, site.clock.now);
+        owner_drain_announced(target, REMAINING_MS, site.clock.now);
         target->draining = true;
-        site.owner->proof_at = site.clock.now;
+        site.owner->ownership_confirmed_at = site.clock.now;
         owner_drain_tick(site.owner, target, site.clock.now);
         CU_ASSERT_EQUAL(step_of(job)->tasks[0].run->stopping, longest < 95);
         site_end(&site);
@@ -127,21 +127,21 @@
     site_begin(&site);
     site.owner->options.lease_ms = 10000;
     target = step_of(run_job(&site, 1, &one))->tasks[0].run->target;
-    site.owner->proof_at = site.clock.now;
-    before_ms = owner_target_lease(target, CW_ORDER_HOLD, site.clock.now);
+    site.owner->ownership_confirmed_at = site.clock.now;
+    before_ms = owner_lease_grant(target, CW_ORDER_POLL, site.clock.now);
     target->draining = true;
     /* What was given stands. */
     site.clock.now = cw_time_add_ms(site.clock.now, 1000);
-    site.owner->proof_at = site.clock.now;
-    CU_ASSERT_EQUAL(owner_target_lease(target, CW_ORDER_HOLD, site.clock.now),
+    site.owner->ownership_confirmed_at = site.clock.now;
+    CU_ASSERT_EQUAL(owner_lease_grant(target, CW_ORDER_POLL, site.clock.now),
                     before_ms);
     site.clock.now = cw_time_add_ms(site.clock.now, 8000);
-    site.owner->proof_at = site.clock.now;
-    owner_target_clock(target,
-                       cw_time_diff_ms(cw_time_from_ms(0), site.clock.now),
-                       site.clock.now);
-    CU_ASSERT_EQUAL(owner_target_lease(target, CW_ORDER_HOLD, site.clock.now),
-                    before_ms + 9000 - owner_lease_longest_ms(site.owner) +
+    site.owner->ownership_confirmed_at = site.clock.now;
+    owner_target_set_clock(target,
+                           cw_time_diff_ms(cw_time_from_ms(0), site.clock.now),
+                           site.clock.now);
+    CU_ASSERT_EQUAL(owner_lease_grant(target, CW_ORDER_POLL, site.clock.now),
+                    before_ms + 9000 - owner_lease_max_granted_ms(site.owner) +
                         LEAVING_LEASE_MS);
     CU_ASSERT_TRUE(cw_time_diff_ms(site.clock.now, target->lease_end) <=
                    LEAVING_LEASE_MS + 300);
--- a/tests/test_due.c
+++ b/tests/test_due.c
@@ -17,12 +17,12 @@
     struct owner_due_entry *entry;
 
     for (unsigned i = 0; i < ENTRIES; i++) {
-        owner_due_by(due, &entries[i],
-                     cw_time_from_ms(g_rand_int_range(random, 0, 1000)));
+        owner_due_schedule(due, &entries[i],
+                           cw_time_from_ms(g_rand_int_range(random, 0, 1000)));
     }
-    while ((entry = owner_due_take(due, cw_time_from_ms(1000))) != NULL) {
+    while ((entry = owner_due_pop(due, cw_time_from_ms(1000))) != NULL) {
         CU_ASSERT_FALSE(cw_time_before(entry->at, last));
-        CU_ASSERT_EQUAL(entry->place, 0);
+        CU_ASSERT_EQUAL(entry->position, 0);
         last = entry->at;
         taken++;
     }
@@ -38,15 +38,15 @@
     struct owner_due_entry first = {0};
     struct owner_due_entry second = {0};
 
-    owner_due_by(due, &first, cw_time_from_ms(100));
-    owner_due_by(due, &second, cw_time_from_ms(200));
-    owner_due_by(due, &first, cw_time_from_ms(300));
-    CU_ASSERT_PTR_NULL(owner_due_take(due, cw_time_from_ms(99)));
-    owner_due_by(due, &second, cw_time_from_ms(50));
-    CU_ASSERT_PTR_EQUAL(owner_due_take(due, cw_time_from_ms(99)), &second);
-    CU_ASSERT_PTR_NULL(owner_due_take(due, cw_time_from_ms(99)));
-    CU_ASSERT_PTR_EQUAL(owner_due_take(due, cw_time_from_ms(100)), &first);
-    CU_ASSERT_PTR_NULL(owner_due_take(due, cw_time_from_ms(1000)));
+    owner_due_schedule(due, &first, cw_time_from_ms(100));
+    owner_due_schedule(due, &second, cw_time_from_ms(200));
+    owner_due_schedule(due, &first, cw_time_from_ms(300));
+    CU_ASSERT_PTR_NULL(owner_due_pop(due, cw_time_from_ms(99)));
+    owner_due_schedule(due, &second, cw_time_from_ms(50));
+    CU_ASSERT_PTR_EQUAL(owner_due_pop(due, cw_time_from_ms(99)), &second);
+    CU_ASSERT_PTR_NULL(owner_due_pop(due, cw_time_from_ms(99)));
+    CU_ASSERT_PTR_EQUAL(owner_due_pop(due, cw_time_from_ms(100)), &first);
+    CU_ASSERT_PTR_NULL(owner_due_pop(due, cw_time_from_ms(1000)));
     owner_due_free(due);
 }
 
@@ -57,16 +57,16 @@
     struct owner_due *due = owner_due_create();
     struct owner_due_entry entry = {0};
 
-    owner_due_by(due, &entry, cw_time_from_ms(10));
-    CU_ASSERT_PTR_EQUAL(owner_due_take(due, cw_time_from_ms(10)), &entry);
-    owner_due_by(due, &entry, cw_time_from_ms(0));
-    owner_due_by(due, &entry, cw_time_from_ms(500));
-    CU_ASSERT_PTR_EQUAL(owner_due_take(due, cw_time_from_ms(10)), &entry);
-    owner_due_by(due, &entry, cw_time_from_ms(10));
+    owner_due_schedule(due, &entry, cw_time_from_ms(10));
+    CU_ASSERT_PTR_EQUAL(owner_due_pop(due, cw_time_from_ms(10)), &entry);
+    owner_due_schedule(due, &entry, cw_time_from_ms(0));
+    owner_due_schedule(due, &entry, cw_time_from_ms(500));
+    CU_ASSERT_PTR_EQUAL(owner_due_pop(due, cw_time_from_ms(10)), &entry);
+    owner_due_schedule(due, &entry, cw_time_from_ms(10));
     owner_due_clear(due);
-    CU_ASSERT_PTR_NULL(owner_due_take(due, cw_time_from_ms(10)));
-    owner_due_by(due, &entry, cw_time_from_ms(20));
-    CU_ASSERT_PTR_EQUAL(owner_due_take(due, cw_time_from_ms(20)), &entry);
+    CU_ASSERT_PTR_NULL(owner_due_pop(due, cw_time_from_ms(10)));
+    owner_due_schedule(due, &entry, cw_time_from_ms(20));
+    CU_ASSERT_PTR_EQUAL(owner_due_pop(due, cw_time_from_ms(20)), &entry);
     owner_due_free(due);
 }
 
--- a/tests/test_lasting.c
+++ b/tests/test_endless.c
@@ -28,7 +28,7 @@
     struct owner_job *job;
 
     site_begin(site);
-    job = add_job_of(site, "other", 1, &lasting);
+    job = add_job_for_account(site, "other", 1, &lasting);
     for (unsigned i = 0; i < 2000 && placed(job) < lasting.tasks; i++) {
         pass(site, 10);
     }
@@ -81,10 +81,10 @@
     struct owner_run *first = step_of(job)->tasks[0].run;
     struct owner_run *second = step_of(job)->tasks[1].run;
 
-    CU_ASSERT_FALSE(owner_lasting_protects(first, NULL));
+    CU_ASSERT_FALSE(owner_endless_protects(first, NULL));
     first->percent = 50;
-    CU_ASSERT_FALSE(owner_lasting_protects(first, NULL));
-    CU_ASSERT_TRUE(owner_lasting_protects(second, NULL));
+    CU_ASSERT_FALSE(owner_endless_protects(first, NULL));
+    CU_ASSERT_TRUE(owner_endless_protects(second, NULL));
     site_end(&site);
 }
 
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -6,7 +6,7 @@
 #include "curlewcart/cw_entry.h"
 #include "curlewcart/cw_log.h"
 #include "curlewcart/cw_xdr.h"
-#include "store_port.h"
+#include "fake_store.h"
 #include "work_spec.h"
 
 #define ID "5c0e7a21d94b36f8"
@@ -15,7 +15,7 @@
 
 /* A VM with one queue, two accounts, and a job of the first account. */
 struct bed {
-    struct store_port port;
+    struct fake_store port;
     struct cw_clock_manual clock;
     struct cw_counters counters;
     struct cw_replica *replica;
@@ -52,7 +52,7 @@
     const struct work_spec_options options = {.id = ID, .account = "desk"};
     struct cw_store_record record = {.key = "s" ID};
     struct cw_store_append append = {
-        .topic = CW_WORK_TOPIC, .records = &record, .count = 1};
+        .topic = CW_JOBS_TOPIC, .records = &record, .count = 1};
     GByteArray *bytes = work_spec_encode(&options);
 
     record.value = bytes->data;
@@ -88,7 +88,7 @@
     memset(bed, 0, sizeof(*bed));
     cw_log_setup("error", "test");
     cw_clock_manual_init(&bed->clock);
-    bed->port.base.ops = &store_port_ops;
+    bed->port.base.ops = &fake_store_ops;
     bed->port.model = store_model_create(1);
     bed->replica = cw_replica_create(&replica);
     bed->routing = cw_routing_new();
@@ -96,7 +96,7 @@
     add_account(bed->routing, "other", "k2");
     add_queue(bed->routing, "q", "/jobs/");
     add_queue(bed->routing, "r", "/rest/");
-    cw_routing_seal(bed->routing);
+    cw_routing_finish(bed->routing);
     entry.replica = bed->replica;
     entry.counters = &bed->counters;
     bed->entry = cw_entry_create(&entry);
@@ -122,10 +122,10 @@
 static void
 cancel(struct bed *bed, const char *path, const char *key)
 {
-    struct cw_entry_place place;
+    struct cw_entry_route place;
 
     CU_ASSERT_EQUAL_FATAL(
-        cw_entry_locate(bed->entry, "a.example", path, key, &place), CW_OK);
+        cw_entry_resolve(bed->entry, "a.example", path, key, &place), CW_OK);
     cw_entry_cancel(bed->entry, &place, BUDGET_MS, on_done, bed);
 }
 
@@ -235,12 +235,12 @@
 static void
 ask(struct bed *bed)
 {
-    struct cw_entry_place place;
+    struct cw_entry_route place;
 
     CU_ASSERT_EQUAL_FATAL(
-        cw_entry_locate(bed->entry, "a.example", "/jobs/" ID, "k1", &place),
+        cw_entry_resolve(bed->entry, "a.example", "/jobs/" ID, "k1", &place),
         CW_OK);
-    cw_entry_ask(bed->entry, &place, on_told, bed);
+    cw_entry_query_fresh(bed->entry, &place, on_told, bed);
 }
 
 /* Between two reads another VM may have taken a job, or ended it. */
@@ -252,7 +252,7 @@
 
     bed_begin(&bed);
     pass(&bed);
-    cw_follower_set_pace(cw_replica_follower(bed.replica), 60000);
+    cw_follower_set_read_interval(cw_replica_follower(bed.replica), 60000);
     pass(&bed); /* the next read is a minute away */
     put_job(&bed);
     before = bed.port.reads;
@@ -273,9 +273,9 @@
     bed_begin(&bed);
     put_job(&bed);
     pass(&bed);
-    cw_follower_set_pace(cw_replica_follower(bed.replica), 60000);
+    cw_follower_set_read_interval(cw_replica_follower(bed.replica), 60000);
     pass(&bed);
-    bed.port.refuses = CW_STORE_REFUSED;
+    bed.port.answer_status = CW_STORE_REFUSED;
     ask(&bed);
     turn(&bed);
     CU_ASSERT_EQUAL(bed.told, 0);
--- a/tests/test_epochs.c
+++ b/tests/test_epochs.c
@@ -3,7 +3,7 @@
 #include "test_main.h"
 
 #include "emulator/worker_model.h"
-#include "owner_bed.h"
+#include "owner_fixture.h"
 
 enum {
     /* What owners give at most, with drift and what an order may be late. */
@@ -27,13 +27,14 @@
 /* ---- records ---- */
 
 static void
-put_epoch(struct bed *bed, const char *key, uint64_t epoch, uint64_t settled)
+put_epoch(struct fixture *fixture, const char *key, uint64_t epoch,
+          uint64_t settled)
 {
     struct cw_epoch_record value = {
         .epoch = epoch, .settled_below = settled, .lease_ms = GIVEN_MS};
     GByteArray *bytes = cw_xdr_encode((xdrproc_t)xdr_cw_epoch_record, &value);
 
-    put(bed, CW_WORK_TOPIC, key, bytes);
+    put(fixture, CW_JOBS_TOPIC, key, bytes);
     g_byte_array_unref(bytes);
 }
 
@@ -50,28 +51,28 @@
 }
 
 static void
-put_end(struct bed *bed, const char *key, uint64_t epoch, unsigned left_ms,
-        const char *worker)
+put_end(struct fixture *fixture, const char *key, uint64_t epoch,
+        unsigned left_ms, const char *worker)
 {
     GByteArray *bytes = encode_end(epoch, left_ms, worker);
 
-    put(bed, CW_WORK_TOPIC, key, bytes);
+    put(fixture, CW_JOBS_TOPIC, key, bytes);
     g_byte_array_unref(bytes);
 }
 
 static void
-put_nothing(struct bed *bed, const char *key)
+put_nothing(struct fixture *fixture, const char *key)
 {
     GByteArray *nothing = g_byte_array_new();
 
-    put(bed, CW_WORK_TOPIC, key, nothing);
+    put(fixture, CW_JOBS_TOPIC, key, nothing);
     g_byte_array_unref(nothing);
 }
 
 static const struct cw_replica_epoch *
-epoch_of(const struct bed *bed, const char *vm)
+epoch_of(const struct fixture *fixture, const char *vm)
 {
-    return g_hash_table_lookup(cw_replica_epochs(bed->replica), vm);
+    return g_hash_table_lookup(cw_replica_epochs(fixture->replica), vm);
 }
 
 /* ---- the replica's fold ---- */
@@ -144,9 +145,12 @@
     fold_end(&fold, 2, EARLY, LEFT_MS);
     CU_ASSERT_EQUAL(
         cw_time_diff_ms(folded(&fold)->end_read_at, fold.clock.now), 500);
-    CU_ASSERT_EQUAL(cw_replica_epoch_left_ms(folded(&fold), "w"), ROW_MS);
-    CU_ASSERT_EQUAL(cw_replica_epoch_left_ms(folded(&fold), "v"), LEFT_MS);
-    CU_ASSERT_EQUAL(cw_replica_epoch_left_ms(folded(&fold), NULL), LEFT_MS);
+    CU_ASSERT_EQUAL(cw_replica_epoch_lease_left_ms(folded(&fold), "w"),
+                    ROW_MS);
+    CU_ASSERT_EQUAL(cw_replica_epoch_lease_left_ms(folded(&fold), "v"),
+                    LEFT_MS);
+    CU_ASSERT_EQUAL(cw_replica_epoch_lease_left_ms(folded(&fold), NULL),
+                    LEFT_MS);
     cw_replica_free(fold.replica);
 }
 
@@ -178,11 +182,11 @@
     fold_epoch(&fold, 1, EARLY);
     fold_epoch(&fold, 2, LATE);
     fold_end(&fold, 3, EARLY, 0);
-    CU_ASSERT_FALSE(cw_replica_epoch_is_over(folded(&fold)));
+    CU_ASSERT_FALSE(cw_replica_epoch_has_ended(folded(&fold)));
     fold_end(&fold, 4, LATE, LEFT_MS);
-    CU_ASSERT_TRUE(cw_replica_epoch_is_over(folded(&fold)));
+    CU_ASSERT_TRUE(cw_replica_epoch_has_ended(folded(&fold)));
     fold_epoch(&fold, 5, HIGH);
-    CU_ASSERT_FALSE(cw_replica_epoch_is_over(folded(&fold)));
+    CU_ASSERT_FALSE(cw_replica_epoch_has_ended(folded(&fold)));
     cw_replica_free(fold.replica);
 }
 
@@ -203,7 +207,7 @@
     fold_end(&fold, 5, LATE, LEFT_MS);
     CU_ASSERT_EQUAL(folded(&fold)->epoch, 0);
     fold_epoch(&fold, 6, HIGH);
-    CU_ASSERT_FALSE(cw_replica_epoch_is_over(folded(&fold)));
+    CU_ASSERT_FALSE(cw_replica_epoch_has_ended(folded(&fold)));
     cw_replica_free(fold.replica);
 }
 
@@ -222,9 +226,9 @@
         fold_bytes(&fold, 2 + i, i == 0 ? "oa" : "ea", junk);
     }
     CU_ASSERT_EQUAL(folded(&fold)->epoch, EARLY);
-    CU_ASSERT_FALSE(cw_replica_epoch_is_over(folded(&fold)));
+    CU_ASSERT_FALSE(cw_replica_epoch_has_ended(folded(&fold)));
     fold_end(&fold, 4, EARLY, LEFT_MS);
-    CU_ASSERT_TRUE(cw_replica_epoch_is_over(folded(&fold)));
+    CU_ASSERT_TRUE(cw_replica_epoch_has_ended(folded(&fold)));
     cw_replica_free(fold.replica);
 }
 
@@ -236,7 +240,7 @@
 static void
 append_but_epochs(struct cw_store *store, const struct cw_store_append *call)
 {
-    const struct cw_store_appended result = {.status = answer_to_epochs};
+    const struct cw_store_append_result result = {.status = answer_to_epochs};
     bool names_epoch =
         call->count > 0 && call->records[0].key[0] == CW_WORK_KEY_EPOCH;
 
@@ -244,27 +248,27 @@
         call->done(call->context, &result);
         return;
     }
-    store_port_append(store, call);
+    fake_store_append(store, call);
 }
 
 static void
-refuse_epochs(struct bed *bed, enum cw_store_status status)
+refuse_epochs(struct fixture *fixture, enum cw_store_status status)
 {
     static struct cw_store_ops ops;
 
-    ops = *bed->store.base.ops;
+    ops = *fixture->store.base.ops;
     ops.append = append_but_epochs;
-    bed->store.base.ops = &ops;
+    fixture->store.base.ops = &ops;
     answer_to_epochs = status;
 }
 
 static void
-bed_with_state(struct bed *bed)
+bed_with_state(struct fixture *fixture)
 {
-    bed_begin(bed);
-    bed->generation = LATER;
-    put_spec(bed);
-    put_state(bed, CW_STATE_TOPIC, CW_WORK_RUNNING);
+    fixture_begin(fixture);
+    fixture->generation = LATER;
+    put_spec(fixture);
+    put_state(fixture, CW_STATE_TOPIC, CW_WORK_RUNNING);
 }
 
 static bool
@@ -282,20 +286,20 @@
                                                     CW_STORE_UNKNOWN};
 
     for (unsigned i = 0; i < G_N_ELEMENTS(statuses); i++) {
-        struct bed bed;
-
-        bed_with_state(&bed);
-        refuse_epochs(&bed, statuses[i]);
-        take_over(&bed);
-        run(&bed, 2000);
-        CU_ASSERT_FALSE(cw_owner_active(bed.owner));
-        CU_ASSERT_PTR_NULL(epoch_of(&bed, "this"));
+        struct fixture fixture;
+
+        bed_with_state(&fixture);
+        refuse_epochs(&fixture, statuses[i]);
+        take_over(&fixture);
+        run(&fixture, 2000);
+        CU_ASSERT_FALSE(cw_owner_active(fixture.owner));
+        CU_ASSERT_PTR_NULL(epoch_of(&fixture, "this"));
         CU_ASSERT_TRUE(unanswered == NULL || unanswered->len == 0);
         answer_to_epochs = CW_STORE_OK;
-        run(&bed, 1000);
-        CU_ASSERT_TRUE(cw_owner_active(bed.owner));
-        CU_ASSERT_PTR_NOT_NULL(epoch_of(&bed, "this"));
-        bed_end(&bed);
+        run(&fixture, 1000);
+        CU_ASSERT_TRUE(cw_owner_active(fixture.owner));
+        CU_ASSERT_PTR_NOT_NULL(epoch_of(&fixture, "this"));
+        fixture_end(&fixture);
     }
 }
 
@@ -304,47 +308,49 @@
 static void
 test_a_former_life_is_told_once(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     uint64_t offset;
 
-    bed_begin(&bed);
-    put_epoch(&bed, "othis", EARLY, 0);
-    bed.owner->join_in_flight = true;
-    run(&bed, 1000);
-    CU_ASSERT_EQUAL_FATAL(epoch_of(&bed, "this")->end_epoch, EARLY);
-    CU_ASSERT_TRUE(epoch_of(&bed, "this")->left_ms <= LEASE_MOST_MS);
-    offset = epoch_of(&bed, "this")->end_offset;
-    run(&bed, 5000);
-    CU_ASSERT_EQUAL(epoch_of(&bed, "this")->end_offset, offset);
-    bed_end(&bed);
+    fixture_begin(&fixture);
+    put_epoch(&fixture, "othis", EARLY, 0);
+    fixture.owner->join_in_flight = true;
+    run(&fixture, 1000);
+    CU_ASSERT_EQUAL_FATAL(epoch_of(&fixture, "this")->end_epoch, EARLY);
+    CU_ASSERT_TRUE(epoch_of(&fixture, "this")->left_ms <= LEASE_MOST_MS);
+    offset = epoch_of(&fixture, "this")->end_offset;
+    run(&fixture, 5000);
+    CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->end_offset, offset);
+    fixture_end(&fixture);
 }
 
 /* Guards against the same where the first append has no answer. */
 static void
 test_an_end_without_an_answer_is_told_again(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     uint64_t offset;
 
-    bed_begin(&bed);
-    put_epoch(&bed, "othis", EARLY, 0);
-    bed.owner->join_in_flight = true;
-    while (epoch_of(&bed, "this") == NULL) {
-        cw_follower_tick(cw_replica_follower(bed.replica), bed.clock.now);
-        bed.clock.now = cw_time_add_ms(bed.clock.now, STEP_MS);
+    fixture_begin(&fixture);
+    put_epoch(&fixture, "othis", EARLY, 0);
+    fixture.owner->join_in_flight = true;
+    while (epoch_of(&fixture, "this") == NULL) {
+        cw_follower_tick(cw_replica_follower(fixture.replica),
+                         fixture.clock.now);
+        fixture.clock.now = cw_time_add_ms(fixture.clock.now, STEP_MS);
     }
-    bed.store.refuses = CW_STORE_UNKNOWN;
-    run(&bed, 1000);
-    CU_ASSERT_EQUAL(epoch_of(&bed, "this")->end_epoch, 0);
-    bed.store.refuses = CW_STORE_OK;
-    run(&bed, 1500);
-    CU_ASSERT_EQUAL(epoch_of(&bed, "this")->end_epoch, EARLY);
+    fixture.store.answer_status = CW_STORE_UNKNOWN;
+    run(&fixture, 1000);
+    CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->end_epoch, 0);
+    fixture.store.answer_status = CW_STORE_OK;
+    run(&fixture, 1500);
+    CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->end_epoch, EARLY);
     /* Counted down meanwhile. */
-    CU_ASSERT_TRUE(epoch_of(&bed, "this")->left_ms <= LEASE_MOST_MS - 1000);
-    offset = epoch_of(&bed, "this")->end_offset;
-    run(&bed, 2000);
-    CU_ASSERT_EQUAL(epoch_of(&bed, "this")->end_offset, offset);
-    bed_end(&bed);
+    CU_ASSERT_TRUE(epoch_of(&fixture, "this")->left_ms <=
+                   LEASE_MOST_MS - 1000);
+    offset = epoch_of(&fixture, "this")->end_offset;
+    run(&fixture, 2000);
+    CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->end_offset, offset);
+    fixture_end(&fixture);
 }
 
 /* Guards against a deposed owner that tells the same time for all workers: the
@@ -352,28 +358,29 @@
 static void
 test_a_silent_worker_has_a_row_of_its_own(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     const struct cw_replica_epoch *told;
     int64_t left_ms;
 
-    bed_with_state(&bed);
-    take_over(&bed);
-    list_worker(&bed);
-    (void)run_all_answered(&bed, 1000);
-    run(&bed, 3000); /* no answers */
-    the_worker(&bed)->silent = 2;
-    left_ms = lease_left_ms(&bed);
+    bed_with_state(&fixture);
+    take_over(&fixture);
+    make_worker_reachable(&fixture);
+    (void)run_answering_polls(&fixture, 1000);
+    run(&fixture, 3000); /* no answers */
+    the_worker(&fixture)->unanswered_polls = 2;
+    left_ms = lease_left_ms(&fixture);
     CU_ASSERT_TRUE_FATAL(left_ms < LEASE_MS - 1000);
-    owner_depose(bed.owner, "test");
-    bed.owner->join_in_flight = true;
-    run(&bed, 1000);
-    told = epoch_of(&bed, "this");
-    CU_ASSERT_TRUE_FATAL(cw_replica_epoch_is_over(told));
-    CU_ASSERT_TRUE(is_about(cw_replica_epoch_left_ms(told, "w"), left_ms));
-    CU_ASSERT_TRUE(cw_replica_epoch_left_ms(told, "w") >= left_ms - 100);
+    owner_drop_ownership(fixture.owner, "test");
+    fixture.owner->join_in_flight = true;
+    run(&fixture, 1000);
+    told = epoch_of(&fixture, "this");
+    CU_ASSERT_TRUE_FATAL(cw_replica_epoch_has_ended(told));
     CU_ASSERT_TRUE(
-        is_about(cw_replica_epoch_left_ms(told, "v"), WHOLE_MOST_MS));
-    bed_end(&bed);
+        is_about(cw_replica_epoch_lease_left_ms(told, "w"), left_ms));
+    CU_ASSERT_TRUE(cw_replica_epoch_lease_left_ms(told, "w") >= left_ms - 100);
+    CU_ASSERT_TRUE(
+        is_about(cw_replica_epoch_lease_left_ms(told, "v"), WHOLE_MOST_MS));
+    fixture_end(&fixture);
 }
 
 /* Guards against a worker that dies together with its owner and is waited for
@@ -381,28 +388,28 @@
 static void
 test_a_worker_that_is_not_silent_yet_has_a_row_too(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     const struct cw_replica_epoch *told;
     int64_t left_ms;
 
-    bed_with_state(&bed);
-    take_over(&bed);
-    list_worker(&bed);
-    (void)run_all_answered(&bed, 1000);
-    run(&bed, 800); /* a look waits for its answer */
-    left_ms = lease_left_ms(&bed);
-    CU_ASSERT_EQUAL_FATAL(the_worker(&bed)->silent, 0);
+    bed_with_state(&fixture);
+    take_over(&fixture);
+    make_worker_reachable(&fixture);
+    (void)run_answering_polls(&fixture, 1000);
+    run(&fixture, 800); /* a look waits for its answer */
+    left_ms = lease_left_ms(&fixture);
+    CU_ASSERT_EQUAL_FATAL(the_worker(&fixture)->unanswered_polls, 0);
     CU_ASSERT_TRUE_FATAL(left_ms < LEASE_MS - 200);
-    owner_depose(bed.owner, "test");
-    bed.owner->join_in_flight = true;
-    run(&bed, 1000);
-    told = epoch_of(&bed, "this");
-    CU_ASSERT_TRUE_FATAL(cw_replica_epoch_is_over(told));
-    CU_ASSERT_TRUE(cw_replica_epoch_left_ms(told, "w") <= left_ms + 500);
-    CU_ASSERT_TRUE(cw_replica_epoch_left_ms(told, "w") >= left_ms);
+    owner_drop_ownership(fixture.owner, "test");
+    fixture.owner->join_in_flight = true;
+    run(&fixture, 1000);
+    told = epoch_of(&fixture, "this");
+    CU_ASSERT_TRUE_FATAL(cw_replica_epoch_has_ended(told));
+    CU_ASSERT_TRUE(cw_replica_epoch_lease_left_ms(told, "w") <= left_ms + 500);
+    CU_ASSERT_TRUE(cw_replica_epoch_lease_left_ms(told, "w") >= left_ms);
     CU_ASSERT_TRUE(
-        is_about(cw_replica_epoch_left_ms(told, "v"), WHOLE_MOST_MS));
-    bed_end(&bed);
+        is_about(cw_replica_epoch_lease_left_ms(told, "v"), WHOLE_MOST_MS));
+    fixture_end(&fixture);
 }
 
 /* Guards against the same for a worker whose last run has ended, where the
@@ -411,29 +418,29 @@
 test_a_worker_without_runs_has_a_row_too(void)
 {
     const struct cw_target_answer idle = {
-        .status = CW_TARGET_OK, .clock_ms = WORKER_CLOCK_MS, .born_ms = 1};
-    struct bed bed;
+        .status = CW_TARGET_OK, .clock_ms = WORKER_CLOCK_MS, .boot_ms = 1};
+    struct fixture fixture;
     int64_t left_ms;
 
-    bed_begin(&bed);
-    take_over(&bed);
-    (void)owner_target_get(bed.owner, "w");
-    list_worker(&bed);
-    run(&bed, STEP_MS);
+    fixture_begin(&fixture);
+    take_over(&fixture);
+    (void)owner_target_get(fixture.owner, "w");
+    make_worker_reachable(&fixture);
+    run(&fixture, STEP_MS);
     CU_ASSERT_EQUAL_FATAL(unanswered->len, 1);
     g_array_set_size(unanswered, 0);
     last_order.done(last_order.context, &idle);
-    run(&bed, 1500);
-    left_ms = lease_left_ms(&bed);
+    run(&fixture, 1500);
+    left_ms = lease_left_ms(&fixture);
     CU_ASSERT_TRUE_FATAL(left_ms < LEASE_MS - 1000);
-    owner_depose(bed.owner, "test");
-    bed.owner->join_in_flight = true;
-    run(&bed, 1000);
-    CU_ASSERT_TRUE(cw_replica_epoch_left_ms(epoch_of(&bed, "this"), "w") <=
-                   left_ms + 500);
-    CU_ASSERT_TRUE(cw_replica_epoch_left_ms(epoch_of(&bed, "this"), "w") >=
-                   left_ms);
-    bed_end(&bed);
+    owner_drop_ownership(fixture.owner, "test");
+    fixture.owner->join_in_flight = true;
+    run(&fixture, 1000);
+    CU_ASSERT_TRUE(cw_replica_epoch_lease_left_ms(epoch_of(&fixture, "this"),
+                                                  "w") <= left_ms + 500);
+    CU_ASSERT_TRUE(cw_replica_epoch_lease_left_ms(epoch_of(&fixture, "this"),
+                                                  "w") >= left_ms);
+    fixture_end(&fixture);
 }
 
 /* Guards against an end told too short by a VM that gains the shard and loses
@@ -441,25 +448,25 @@
 static void
 test_an_epoch_without_decisions_ends_with_the_one_before(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     uint64_t epoch;
 
-    bed_with_state(&bed);
-    take_over(&bed);
-    epoch = bed.owner->epoch;
-    owner_depose(bed.owner, "test");
-    bed.generation++;
-    refuse_epochs(&bed, CW_STORE_UNKNOWN);
-    take_over(&bed);
-    CU_ASSERT_FALSE(cw_owner_active(bed.owner));
-    CU_ASSERT_TRUE(bed.owner->epoch > epoch);
-    epoch = bed.owner->epoch;
-    owner_depose(bed.owner, "test");
-    bed.owner->join_in_flight = true;
-    run(&bed, 1000);
-    CU_ASSERT_EQUAL(epoch_of(&bed, "this")->end_epoch, epoch);
-    CU_ASSERT_TRUE(epoch_of(&bed, "this")->left_ms > LEASE_MOST_MS - 1000);
-    bed_end(&bed);
+    bed_with_state(&fixture);
+    take_over(&fixture);
+    epoch = fixture.owner->epoch;
+    owner_drop_ownership(fixture.owner, "test");
+    fixture.generation++;
+    refuse_epochs(&fixture, CW_STORE_UNKNOWN);
+    take_over(&fixture);
+    CU_ASSERT_FALSE(cw_owner_active(fixture.owner));
+    CU_ASSERT_TRUE(fixture.owner->epoch > epoch);
+    epoch = fixture.owner->epoch;
+    owner_drop_ownership(fixture.owner, "test");
+    fixture.owner->join_in_flight = true;
+    run(&fixture, 1000);
+    CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->end_epoch, epoch);
+    CU_ASSERT_TRUE(epoch_of(&fixture, "this")->left_ms > LEASE_MOST_MS - 1000);
+    fixture_end(&fixture);
 }
 
 /* Guards against two owners that both extend leases: the earlier one learns of
@@ -467,18 +474,19 @@
 static void
 test_an_owner_that_reads_a_later_epoch_is_deposed(void)
 {
-    struct bed bed;
+    struct fixture fixture;
 
-    bed_with_state(&bed);
-    take_over(&bed);
-    put_epoch(&bed, "oother", EARLY, 0); /* an earlier one changes nothing */
-    run(&bed, READ_MS);
-    CU_ASSERT_TRUE(cw_owner_active(bed.owner));
-    bed.owner->join_in_flight = true;
-    put_epoch(&bed, "oother", HIGH, 0);
-    run(&bed, READ_MS);
-    CU_ASSERT_FALSE(cw_owner_active(bed.owner));
-    bed_end(&bed);
+    bed_with_state(&fixture);
+    take_over(&fixture);
+    put_epoch(&fixture, "oother", EARLY,
+              0); /* an earlier one changes nothing */
+    run(&fixture, READ_MS);
+    CU_ASSERT_TRUE(cw_owner_active(fixture.owner));
+    fixture.owner->join_in_flight = true;
+    put_epoch(&fixture, "oother", HIGH, 0);
+    run(&fixture, READ_MS);
+    CU_ASSERT_FALSE(cw_owner_active(fixture.owner));
+    fixture_end(&fixture);
 }
 
 /* Guards against two processes under one VM's name: the one that starts says
@@ -486,18 +494,18 @@
 static void
 test_an_owner_whose_name_another_uses_makes_way(void)
 {
-    struct bed bed;
+    struct fixture fixture;
 
-    bed_with_state(&bed);
-    take_over(&bed);
-    bed.owner->join_in_flight = true;
-    put_end(&bed, "ethis", bed.owner->epoch - 1, LEFT_MS, NULL);
-    run(&bed, READ_MS);
-    CU_ASSERT_TRUE(cw_owner_active(bed.owner));
-    put_end(&bed, "ethis", bed.owner->epoch, LEFT_MS, NULL);
-    run(&bed, READ_MS);
-    CU_ASSERT_FALSE(cw_owner_active(bed.owner));
-    bed_end(&bed);
+    bed_with_state(&fixture);
+    take_over(&fixture);
+    fixture.owner->join_in_flight = true;
+    put_end(&fixture, "ethis", fixture.owner->epoch - 1, LEFT_MS, NULL);
+    run(&fixture, READ_MS);
+    CU_ASSERT_TRUE(cw_owner_active(fixture.owner));
+    put_end(&fixture, "ethis", fixture.owner->epoch, LEFT_MS, NULL);
+    run(&fixture, READ_MS);
+    CU_ASSERT_FALSE(cw_owner_active(fixture.owner));
+    fixture_end(&fixture);
 }
 
 /* Guards against an owner that was replaced without noticing, and is dealt the
@@ -505,23 +513,25 @@
 static void
 test_membership_does_not_renew_an_old_proof(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     struct timespec proof;
 
-    bed_with_state(&bed);
-    take_over(&bed);
-    run(&bed, 1000);
-    CU_ASSERT_TRUE(owner_may_order(bed.owner, bed.clock.now));
-    proof = cw_time_add_ms(bed.clock.now, -3000);
-    bed.owner->proof_at = proof;
-    bed.store.refuses = CW_STORE_UNKNOWN; /* appends have no answer */
-    run(&bed, 1000);
-    CU_ASSERT_FALSE(owner_may_order(bed.owner, bed.clock.now));
-    CU_ASSERT_EQUAL(cw_time_diff_ms(proof, bed.owner->proof_at), 0);
-    bed.store.refuses = CW_STORE_OK;
-    run(&bed, 1500);
-    CU_ASSERT_TRUE(owner_may_order(bed.owner, bed.clock.now));
-    bed_end(&bed);
+    bed_with_state(&fixture);
+    take_over(&fixture);
+    run(&fixture, 1000);
+    CU_ASSERT_TRUE(owner_may_order(fixture.owner, fixture.clock.now));
+    proof = cw_time_add_ms(fixture.clock.now, -3000);
+    fixture.owner->ownership_confirmed_at = proof;
+    fixture.store.answer_status =
+        CW_STORE_UNKNOWN; /* appends have no answer */
+    run(&fixture, 1000);
+    CU_ASSERT_FALSE(owner_may_order(fixture.owner, fixture.clock.now));
+    CU_ASSERT_EQUAL(
+        cw_time_diff_ms(proof, fixture.owner->ownership_confirmed_at), 0);
+    fixture.store.answer_status = CW_STORE_OK;
+    run(&fixture, 1500);
+    CU_ASSERT_TRUE(owner_may_order(fixture.owner, fixture.clock.now));
+    fixture_end(&fixture);
 }
 
 /* ---- bounds ---- */
@@ -531,58 +541,58 @@
 static void
 test_a_vm_whose_end_never_comes_keeps_the_whole_bound(void)
 {
-    struct bed bed;
+    struct fixture fixture;
 
-    bed_with_state(&bed);
-    put_epoch(&bed, "oother", EARLY, 1);
-    take_over(&bed);
-    CU_ASSERT_TRUE(is_about(lease_left_ms(&bed), OPEN_BOUND_MS));
-    replace_owner(&bed, "third");
-    CU_ASSERT_TRUE(is_about(lease_left_ms(&bed), OPEN_BOUND_MS));
-    replace_owner(&bed, "third");
-    CU_ASSERT_TRUE(is_about(lease_left_ms(&bed), OPEN_BOUND_MS));
-    run(&bed, OPEN_BOUND_MS - 1000);
-    CU_ASSERT_EQUAL(the_job(&bed)->runs, TASKS);
-    bed_end(&bed);
+    bed_with_state(&fixture);
+    put_epoch(&fixture, "oother", EARLY, 1);
+    take_over(&fixture);
+    CU_ASSERT_TRUE(is_about(lease_left_ms(&fixture), OPEN_BOUND_MS));
+    replace_owner(&fixture, "third");
+    CU_ASSERT_TRUE(is_about(lease_left_ms(&fixture), OPEN_BOUND_MS));
+    replace_owner(&fixture, "third");
+    CU_ASSERT_TRUE(is_about(lease_left_ms(&fixture), OPEN_BOUND_MS));
+    run(&fixture, OPEN_BOUND_MS - 1000);
+    CU_ASSERT_EQUAL(the_job(&fixture)->runs, TASKS);
+    fixture_end(&fixture);
 }
 
 /* Guards against one former owner's end that stands for another's. */
 static void
 test_of_two_former_owners_one_has_told(void)
 {
-    struct bed bed;
+    struct fixture fixture;
 
-    bed_with_state(&bed);
-    put_epoch(&bed, "oa", EARLY, 1);
-    put_epoch(&bed, "ob", LATE, 1);
-    put_end(&bed, "eb", LATE, LEFT_MS, "w");
-    take_over(&bed);
-    CU_ASSERT_TRUE(is_about(lease_left_ms(&bed), OPEN_BOUND_MS));
-    bed_end(&bed);
+    bed_with_state(&fixture);
+    put_epoch(&fixture, "oa", EARLY, 1);
+    put_epoch(&fixture, "ob", LATE, 1);
+    put_end(&fixture, "eb", LATE, LEFT_MS, "w");
+    take_over(&fixture);
+    CU_ASSERT_TRUE(is_about(lease_left_ms(&fixture), OPEN_BOUND_MS));
+    fixture_end(&fixture);
 }
 
 /* Guards against the bound of one worker that is taken for others'. */
 static void
 test_ends_bound_each_worker_by_its_own_row(void)
 {
-    struct bed bed;
-
-    bed_with_state(&bed);
-    run(&bed, LEASE_MOST_MS); /* nothing of this VM's former life lasts */
-    put_epoch(&bed, "oa", EARLY, 1);
-    put_epoch(&bed, "ob", LATE, 1);
-    put_end(&bed, "ea", EARLY, 2 * ROW_MS, NULL);
-    put_end(&bed, "eb", LATE, LEFT_MS, "w");
-    take_over(&bed);
-    CU_ASSERT_TRUE(is_about(lease_left_ms(&bed), 2 * ROW_MS));
-    bed_end(&bed);
-    bed_with_state(&bed);
-    run(&bed, LEASE_MOST_MS);
-    put_epoch(&bed, "ob", LATE, 1);
-    put_end(&bed, "eb", LATE, LEFT_MS, "v");
-    take_over(&bed);
-    CU_ASSERT_TRUE(is_about(lease_left_ms(&bed), LEFT_MS));
-    bed_end(&bed);
+    struct fixture fixture;
+
+    bed_with_state(&fixture);
+    run(&fixture, LEASE_MOST_MS); /* nothing of this VM's former life lasts */
+    put_epoch(&fixture, "oa", EARLY, 1);
+    put_epoch(&fixture, "ob", LATE, 1);
+    put_end(&fixture, "ea", EARLY, 2 * ROW_MS, NULL);
+    put_end(&fixture, "eb", LATE, LEFT_MS, "w");
+    take_over(&fixture);
+    CU_ASSERT_TRUE(is_about(lease_left_ms(&fixture), 2 * ROW_MS));
+    fixture_end(&fixture);
+    bed_with_state(&fixture);
+    run(&fixture, LEASE_MOST_MS);
+    put_epoch(&fixture, "ob", LATE, 1);
+    put_end(&fixture, "eb", LATE, LEFT_MS, "v");
+    take_over(&fixture);
+    CU_ASSERT_TRUE(is_about(lease_left_ms(&fixture), LEFT_MS));
+    fixture_end(&fixture);
 }
 
 /* Guards against an end that lowers what this owner gave itself, or does not
@@ -590,32 +600,33 @@
 static void
 test_a_late_end_lowers_the_bound_of_unanswered_workers_only(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     struct timespec end;
 
     for (unsigned answered = 0; answered < 2; answered++) {
-        bed_with_state(&bed);
-        run(&bed, LEASE_MOST_MS);
-        put_epoch(&bed, "oa", EARLY, 1);
-        take_over(&bed);
-        CU_ASSERT_TRUE(is_about(lease_left_ms(&bed), OPEN_BOUND_MS));
+        bed_with_state(&fixture);
+        run(&fixture, LEASE_MOST_MS);
+        put_epoch(&fixture, "oa", EARLY, 1);
+        take_over(&fixture);
+        CU_ASSERT_TRUE(is_about(lease_left_ms(&fixture), OPEN_BOUND_MS));
         if (answered) {
-            list_worker(&bed);
-            (void)run_all_answered(&bed, 500);
-            run(&bed, 100); /* the next look waits for its answer */
+            make_worker_reachable(&fixture);
+            (void)run_answering_polls(&fixture, 500);
+            run(&fixture, 100); /* the next look waits for its answer */
         }
-        put_end(&bed, "ea", EARLY, ROW_MS, NULL);
-        end = the_worker(&bed)->lease_end;
-        run(&bed, READ_MS);
+        put_end(&fixture, "ea", EARLY, ROW_MS, NULL);
+        end = the_worker(&fixture)->lease_end;
+        run(&fixture, READ_MS);
         if (answered) {
-            CU_ASSERT_FALSE(cw_time_before(the_worker(&bed)->lease_end, end));
+            CU_ASSERT_FALSE(
+                cw_time_before(the_worker(&fixture)->lease_end, end));
         }
         else {
-            CU_ASSERT_TRUE(is_about(lease_left_ms(&bed), ROW_MS));
-            run(&bed, ROW_MS + SLOPPY_MS);
-            CU_ASSERT_EQUAL(the_job(&bed)->runs, 0);
+            CU_ASSERT_TRUE(is_about(lease_left_ms(&fixture), ROW_MS));
+            run(&fixture, ROW_MS + SLOPPY_MS);
+            CU_ASSERT_EQUAL(the_job(&fixture)->runs, 0);
         }
-        bed_end(&bed);
+        fixture_end(&fixture);
     }
 }
 
@@ -624,14 +635,14 @@
 static void
 test_without_a_settled_epoch_an_end_is_not_enough(void)
 {
-    struct bed bed;
+    struct fixture fixture;
 
-    bed_with_state(&bed);
-    put_epoch(&bed, "oa", EARLY, 0);
-    put_end(&bed, "ea", EARLY, ROW_MS, NULL);
-    take_over(&bed);
-    CU_ASSERT_TRUE(is_about(lease_left_ms(&bed), FIRST_BOUND_MS));
-    bed_end(&bed);
+    bed_with_state(&fixture);
+    put_epoch(&fixture, "oa", EARLY, 0);
+    put_end(&fixture, "ea", EARLY, ROW_MS, NULL);
+    take_over(&fixture);
+    CU_ASSERT_TRUE(is_about(lease_left_ms(&fixture), FIRST_BOUND_MS));
+    fixture_end(&fixture);
 }
 
 /* Guards against later owners that stop considering an earlier one too soon,
@@ -639,42 +650,43 @@
 static void
 test_settled_is_written_when_all_is_over(void)
 {
-    struct bed bed;
-
-    bed_with_state(&bed);
-    put_epoch(&bed, "oa", EARLY, 1);
-    put_epoch(&bed, "ob", LATE, 1);
-    put_end(&bed, "eb", LATE, LEFT_MS, NULL);
-    take_over(&bed);
-    run(&bed, OPEN_BOUND_MS - 1000);
-    CU_ASSERT_EQUAL(epoch_of(&bed, "this")->settled_below, 1);
-    CU_ASSERT_PTR_NOT_NULL(epoch_of(&bed, "a"));
-    run(&bed, 2000);
-    CU_ASSERT_EQUAL(epoch_of(&bed, "this")->settled_below, bed.owner->epoch);
-    CU_ASSERT_PTR_NULL(epoch_of(&bed, "a"));
-    CU_ASSERT_PTR_NULL(epoch_of(&bed, "b"));
+    struct fixture fixture;
+
+    bed_with_state(&fixture);
+    put_epoch(&fixture, "oa", EARLY, 1);
+    put_epoch(&fixture, "ob", LATE, 1);
+    put_end(&fixture, "eb", LATE, LEFT_MS, NULL);
+    take_over(&fixture);
+    run(&fixture, OPEN_BOUND_MS - 1000);
+    CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->settled_below, 1);
+    CU_ASSERT_PTR_NOT_NULL(epoch_of(&fixture, "a"));
+    run(&fixture, 2000);
+    CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->settled_below,
+                    fixture.owner->epoch);
+    CU_ASSERT_PTR_NULL(epoch_of(&fixture, "a"));
+    CU_ASSERT_PTR_NULL(epoch_of(&fixture, "b"));
     /* An end that comes after that is not of an epoch. */
-    put_end(&bed, "ea", EARLY, LEFT_MS, NULL);
-    run(&bed, READ_MS);
-    CU_ASSERT_TRUE(cw_owner_active(bed.owner));
-    bed_end(&bed);
+    put_end(&fixture, "ea", EARLY, LEFT_MS, NULL);
+    run(&fixture, READ_MS);
+    CU_ASSERT_TRUE(cw_owner_active(fixture.owner));
+    fixture_end(&fixture);
 }
 
 /* Guards against a settled epoch that is forgotten by the next owner's. */
 static void
 test_a_settled_epoch_stands_for_later_owners(void)
 {
-    struct bed bed;
+    struct fixture fixture;
 
-    bed_with_state(&bed);
-    put_epoch(&bed, "oa", EARLY, EARLY);
-    put_end(&bed, "ea", EARLY, 0, NULL);
-    take_over(&bed);
-    CU_ASSERT_EQUAL(epoch_of(&bed, "this")->settled_below, EARLY);
-    put_nothing(&bed, "oa");
-    replace_owner(&bed, "this");
-    CU_ASSERT_TRUE(lease_left_ms(&bed) <= LEASE_MOST_MS);
-    bed_end(&bed);
+    bed_with_state(&fixture);
+    put_epoch(&fixture, "oa", EARLY, EARLY);
+    put_end(&fixture, "ea", EARLY, 0, NULL);
+    take_over(&fixture);
+    CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->settled_below, EARLY);
+    put_nothing(&fixture, "oa");
+    replace_owner(&fixture, "this");
+    CU_ASSERT_TRUE(lease_left_ms(&fixture) <= LEASE_MOST_MS);
+    fixture_end(&fixture);
 }
 
 /* Guards against the longer of a note and an end: both hold, so that the one
@@ -688,17 +700,17 @@
         struct cw_note_record note = {.left_ms = lefts_ms[i][0]};
         GByteArray *bytes =
             cw_xdr_encode((xdrproc_t)xdr_cw_note_record, &note);
-        struct bed bed;
-
-        bed_with_state(&bed);
-        run(&bed, LEASE_MOST_MS);
-        put_epoch(&bed, "oa", EARLY, 1);
-        put(&bed, CW_WORK_TOPIC, "nw", bytes);
-        put_end(&bed, "ea", EARLY, lefts_ms[i][1], NULL);
-        take_over(&bed);
-        CU_ASSERT_TRUE(is_about(lease_left_ms(&bed), 700));
+        struct fixture fixture;
+
+        bed_with_state(&fixture);
+        run(&fixture, LEASE_MOST_MS);
+        put_epoch(&fixture, "oa", EARLY, 1);
+        put(&fixture, CW_JOBS_TOPIC, "nw", bytes);
+        put_end(&fixture, "ea", EARLY, lefts_ms[i][1], NULL);
+        take_over(&fixture);
+        CU_ASSERT_TRUE(is_about(lease_left_ms(&fixture), 700));
         g_byte_array_unref(bytes);
-        bed_end(&bed);
+        fixture_end(&fixture);
     }
 }
 
@@ -712,29 +724,29 @@
         .status = CW_TARGET_OK,
         .clock_ms = WORKER_CLOCK_MS,
     };
-    struct bed bed;
+    struct fixture fixture;
     struct owner_target *target;
     struct timespec answered;
 
-    bed_begin(&bed);
-    put_epoch(&bed, "oa", EARLY, 1);
-    bed.generation = LATER;
-    take_over(&bed);
-    target = owner_target_get(bed.owner, "w");
-    list_worker(&bed);
-    run(&bed, STEP_MS);
+    fixture_begin(&fixture);
+    put_epoch(&fixture, "oa", EARLY, 1);
+    fixture.generation = LATER;
+    take_over(&fixture);
+    target = owner_target_get(fixture.owner, "w");
+    make_worker_reachable(&fixture);
+    run(&fixture, STEP_MS);
     CU_ASSERT_EQUAL_FATAL(unanswered->len, 1);
     answer_last(CW_TARGET_UNKNOWN);
-    run(&bed, 400);
+    run(&fixture, 400);
     CU_ASSERT_EQUAL_FATAL(unanswered->len, 1);
     /* "a" has extended the lease just before it was shut out there. */
-    answered = bed.clock.now;
+    answered = fixture.clock.now;
     g_array_set_size(unanswered, 0);
     last_order.done(last_order.context, &idle);
-    (void)owner_target_lease(target, CW_ORDER_START, bed.clock.now);
+    (void)owner_lease_grant(target, CW_ORDER_START, fixture.clock.now);
     CU_ASSERT_TRUE(cw_time_diff_ms(answered, target->lease_end) >=
                    LEASE_MS + LEASE_MS / 50);
-    bed_end(&bed);
+    fixture_end(&fixture);
 }
 
 /* The looks under way fail. */
@@ -747,7 +759,7 @@
         struct cw_target_order order =
             g_array_index(unanswered, struct cw_target_order, i);
 
-        if (order.kind == CW_ORDER_HOLD) {
+        if (order.kind == CW_ORDER_POLL) {
             g_array_remove_index(unanswered, i);
             order.done(order.context, &none);
         }
@@ -762,30 +774,30 @@
 static void
 test_a_stop_to_a_silent_worker_adds_nothing_to_its_bound(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     struct owner_target *target;
     struct cw_task_name name = {.job = ID};
     struct timespec end;
 
-    bed_with_state(&bed);
-    take_over(&bed);
-    list_worker(&bed);
-    target = the_worker(&bed);
+    bed_with_state(&fixture);
+    take_over(&fixture);
+    make_worker_reachable(&fixture);
+    target = the_worker(&fixture);
     end = target->lease_end;
-    owner_order_queue(bed.owner, target, CW_ORDER_STOP, &name, RUN);
-    run(&bed, 100);
-    CU_ASSERT_TRUE_FATAL(target->hold_in_flight);
+    owner_order_queue(fixture.owner, target, CW_ORDER_STOP, &name, RUN);
+    run(&fixture, 100);
+    CU_ASSERT_TRUE_FATAL(target->poll_in_flight);
     CU_ASSERT_TRUE_FATAL(target->orders_in_flight > 0);
     fail_looks();
-    CU_ASSERT_EQUAL(target->silent, 1);
+    CU_ASSERT_EQUAL(target->unanswered_polls, 1);
     CU_ASSERT_EQUAL(cw_time_diff_ms(end, target->lease_end), 0);
-    bed_end(&bed);
+    fixture_end(&fixture);
 }
 
 /* ---- workers that carry orders out ---- */
 
 struct pair {
-    struct bed bed;
+    struct fixture fixture;
     struct worker_fleet *fleet;
     bool resets; /* "w" resets connections from its first start on */
     unsigned running[TASKS];
@@ -844,7 +856,7 @@
 static int64_t
 fleet_ms(const struct pair *pair)
 {
-    return cw_time_diff_ms(cw_time_from_ms(START_MS), pair->bed.clock.now);
+    return cw_time_diff_ms(cw_time_from_ms(START_MS), pair->fixture.clock.now);
 }
 
 static void
@@ -859,7 +871,7 @@
         worker_model_order(worker_fleet_find(pair->fleet, order->id), order,
                            fleet_ms(pair), &answer, running, ended, texts);
     }
-    answer.born_ms = 0; /* each life has an id of its own */
+    answer.boot_ms = 0; /* each life has an id of its own */
     if (order->done != NULL) {
         order->done(order->context, &answer);
     }
@@ -872,7 +884,7 @@
 run_pair(struct pair *pair, unsigned ms)
 {
     for (unsigned passed = 0; passed < ms; passed += STEP_MS) {
-        run(&pair->bed, STEP_MS);
+        run(&pair->fixture, STEP_MS);
         worker_fleet_advance(pair->fleet, fleet_ms(pair));
         while (unanswered != NULL && unanswered->len > 0) {
             struct cw_target_order order =
@@ -887,7 +899,7 @@
 static void
 list_worker_at(struct pair *pair, const char *id)
 {
-    struct owner_target *target = owner_target_get(pair->bed.owner, id);
+    struct owner_target *target = owner_target_get(pair->fixture.owner, id);
 
     g_free(target->address);
     target->address = g_strdup(id);
@@ -906,7 +918,7 @@
 {
     const struct cw_resources capacity = {
         .accelerators = TASKS, .cpu_milli = 64000, .memory_mb = 65536};
-    struct cw_target_order earlier = {.kind = CW_ORDER_HOLD,
+    struct cw_target_order earlier = {.kind = CW_ORDER_POLL,
                                       .id = "w",
                                       .fence = EARLY,
                                       .lease_until_ms = LEASE_MS};
@@ -917,15 +929,15 @@
                                        .confirmed = ignore_confirmed,
                                        .context = &pair};
 
-    bed_begin(&pair.bed);
-    pair.bed.generation = LATER;
+    fixture_begin(&pair.fixture);
+    pair.fixture.generation = LATER;
     pair.fleet = worker_fleet_create(&listener);
     worker_fleet_add(pair.fleet, "w", "r0", &capacity, 0);
     worker_fleet_add(pair.fleet, "v", "r0", &capacity, 0);
-    put_epoch(&pair.bed, "oa", EARLY, 1);
-    put_spec(&pair.bed);
+    put_epoch(&pair.fixture, "oa", EARLY, 1);
+    put_spec(&pair.fixture);
     carry_out(&pair, &earlier);
-    take_over(&pair.bed);
+    take_over(&pair.fixture);
     list_worker_at(&pair, "w");
     run_pair(&pair, 200);
     CU_ASSERT_TRUE(pair.starts > 0);
@@ -934,7 +946,7 @@
     CU_ASSERT_TRUE(pair.starts > TASKS);
     CU_ASSERT_EQUAL(pair.twice, 0);
     worker_fleet_free(pair.fleet);
-    bed_end(&pair.bed);
+    fixture_end(&pair.fixture);
 }
 
 static const struct test tests[] = {
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -5,10 +5,10 @@
 
 #include "curlewcart/cw_follower.h"
 #include "curlewcart/cw_log.h"
-#include "store_port.h"
+#include "fake_store.h"
 
 struct bed {
-    struct store_port port;
+    struct fake_store port;
     struct cw_clock_manual clock;
     struct cw_follower *follower;
     GString *seen; /* keys, in the order given */
@@ -51,13 +51,13 @@
         .clock = &bed->clock.base,
         .topic = "t",
         .wait_ms = 500,
-        .pace_ms = 100,
+        .read_interval_ms = 100,
         .handler = {.record = on_record, .context = bed}};
 
     memset(bed, 0, sizeof(*bed));
     cw_log_setup("error", "test");
     cw_clock_manual_init(&bed->clock);
-    bed->port.base.ops = &store_port_ops;
+    bed->port.base.ops = &fake_store_ops;
     bed->port.model = store_model_create(1);
     bed->seen = g_string_new(NULL);
     bed->follower = cw_follower_create(&options);
@@ -116,9 +116,9 @@
     bed_begin(&bed);
     pass(&bed, 1000);
     before = bed.port.reads; /* ten a second */
-    bed.port.refuses = CW_STORE_REFUSED;
+    bed.port.answer_status = CW_STORE_REFUSED;
     pass(&bed, 2000);
-    bed.port.refuses = CW_STORE_OK;
+    bed.port.answer_status = CW_STORE_OK;
     pass(&bed, 1000);
     slow = bed.port.reads;
     pass(&bed, 1000);
@@ -140,10 +140,10 @@
     bed_begin(&bed);
     pass(&bed, 50);
     before = bed.port.reads;
-    cw_follower_hurry(bed.follower);
+    cw_follower_read_now(bed.follower);
     pass(&bed, 1);
     CU_ASSERT_EQUAL(bed.port.reads, before + 1);
-    CU_ASSERT_EQUAL(bed.port.waited_ms, 0);
+    CU_ASSERT_EQUAL(bed.port.last_wait_ms, 0);
     bed_end(&bed);
 }
 
@@ -157,19 +157,20 @@
 
     bed_begin(&bed);
     pass(&bed, 5);
-    before = cw_follower_fresh(bed.follower);
-    bed.port.page_most = 1;
+    before = cw_follower_fresh_as_of(bed.follower);
+    bed.port.page_records_max = 1;
     put(&bed, "a");
     put(&bed, "b");
     put(&bed, "c");
     while (cw_follower_position(bed.follower) < 1) {
         pass(&bed, 1);
     }
-    CU_ASSERT_EQUAL(cw_time_diff_ms(before, cw_follower_fresh(bed.follower)),
-                    0);
+    CU_ASSERT_EQUAL(
+        cw_time_diff_ms(before, cw_follower_fresh_as_of(bed.follower)), 0);
     pass(&bed, 3);
     CU_ASSERT_EQUAL(cw_follower_position(bed.follower), 3);
-    CU_ASSERT_TRUE(cw_time_before(before, cw_follower_fresh(bed.follower)));
+    CU_ASSERT_TRUE(
+        cw_time_before(before, cw_follower_fresh_as_of(bed.follower)));
     bed_end(&bed);
 }
 
@@ -182,19 +183,20 @@
     bed_begin(&bed);
     put(&bed, "a");
     pass(&bed, 5);
-    before = cw_follower_fresh(bed.follower);
+    before = cw_follower_fresh_as_of(bed.follower);
     put(&bed, "b");
     put(&bed, "c");
     store_model_compact(bed.port.model, "t");
-    bed.port.page_most = 1;
+    bed.port.page_records_max = 1;
     while (bed.port.loads < 2) {
         pass(&bed, 1);
     }
-    CU_ASSERT_EQUAL(cw_time_diff_ms(before, cw_follower_fresh(bed.follower)),
-                    0);
+    CU_ASSERT_EQUAL(
+        cw_time_diff_ms(before, cw_follower_fresh_as_of(bed.follower)), 0);
     pass(&bed, 3);
     CU_ASSERT_STRING_EQUAL(bed.seen->str, "aabc");
-    CU_ASSERT_TRUE(cw_time_before(before, cw_follower_fresh(bed.follower)));
+    CU_ASSERT_TRUE(
+        cw_time_before(before, cw_follower_fresh_as_of(bed.follower)));
     bed_end(&bed);
 }
 
@@ -207,13 +209,13 @@
 
     bed_begin(&bed);
     put(&bed, "a");
-    bed.port.refuses = CW_STORE_UNKNOWN;
+    bed.port.answer_status = CW_STORE_UNKNOWN;
     pass(&bed, 1);
-    first = bed.port.load_timeout_ms;
+    first = bed.port.last_load_timeout_ms;
     pass(&bed, 5000);
-    CU_ASSERT_TRUE(bed.port.load_timeout_ms >= 2 * first);
-    CU_ASSERT_TRUE(bed.port.load_timeout_ms >= 5000);
-    bed.port.refuses = CW_STORE_OK;
+    CU_ASSERT_TRUE(bed.port.last_load_timeout_ms >= 2 * first);
+    CU_ASSERT_TRUE(bed.port.last_load_timeout_ms >= 5000);
+    bed.port.answer_status = CW_STORE_OK;
     pass(&bed, 1000);
     CU_ASSERT_TRUE(cw_follower_loaded(bed.follower));
     bed_end(&bed);
@@ -226,18 +228,18 @@
 
     bed_begin(&bed);
     pass(&bed, 200);
-    CU_ASSERT_EQUAL(bed.port.waited_ms, 500);
+    CU_ASSERT_EQUAL(bed.port.last_wait_ms, 500);
     CU_ASSERT_TRUE(cw_follower_at_end(bed.follower));
-    bed.port.refuses = CW_STORE_UNKNOWN;
+    bed.port.answer_status = CW_STORE_UNKNOWN;
     pass(&bed, 500);
     CU_ASSERT_FALSE(cw_follower_at_end(bed.follower));
-    bed.port.refuses = CW_STORE_OK;
+    bed.port.answer_status = CW_STORE_OK;
     while (!cw_follower_at_end(bed.follower)) {
         pass(&bed, 1);
     }
-    CU_ASSERT_EQUAL(bed.port.waited_ms, 0);
+    CU_ASSERT_EQUAL(bed.port.last_wait_ms, 0);
     pass(&bed, 300);
-    CU_ASSERT_EQUAL(bed.port.waited_ms, 500);
+    CU_ASSERT_EQUAL(bed.port.last_wait_ms, 500);
     bed_end(&bed);
 }
 
--- a/tests/test_spread.c
+++ b/tests/test_gang_dcs.c
@@ -30,8 +30,8 @@
     unsigned count = 0;
 
     for (unsigned i = 0; i < step_of(job)->count; i++) {
-        count +=
-            place_of(job, i) != NULL && strcmp(place_of(job, i)->dc, dc) == 0;
+        count += worker_of(job, i) != NULL &&
+                 strcmp(worker_of(job, i)->dc, dc) == 0;
     }
     return count;
 }
@@ -118,7 +118,7 @@
     pass(&site, 10);
     CU_ASSERT_EQUAL(tasks_in(job, "d2"), 7);
     for (unsigned i = 1; i < 7; i++) {
-        CU_ASSERT_PTR_NOT_EQUAL(place_of(job, i), place_of(job, i - 1));
+        CU_ASSERT_PTR_NOT_EQUAL(worker_of(job, i), worker_of(job, i - 1));
     }
     site_end(&site);
 }
--- a/tests/test_group.c
+++ b/tests/test_group.c
@@ -3,14 +3,14 @@
 
 #include "owner_site.h"
 #include "platform/platform.h"
-#include "store_port.h"
+#include "fake_store.h"
 
 enum { WEAK = 120, STRONG = 500, STEP_MS = 100 };
 
 /* An owner on a VM that is a member of no group yet; joins, leaves and
  * announcements are counted. */
 struct vm {
-    struct store_port store;
+    struct fake_store store;
     struct cw_clock_manual clock;
     struct cw_counters counters;
     struct cw_replica *replica;
@@ -26,10 +26,11 @@
 on_join(struct cw_store *store, const struct cw_store_join *call)
 {
     static const unsigned shard = 0;
-    struct cw_store_joined result = {.status = CW_STORE_OK,
-                                     .generation = 1,
-                                     .partitions = &shard,
-                                     .count = current->owner->holds_partition};
+    struct cw_store_join_result result = {
+        .status = CW_STORE_OK,
+        .generation = 1,
+        .partitions = &shard,
+        .count = current->owner->partition_assigned};
 
     (void)store;
     current->joins++;
@@ -62,7 +63,7 @@
 
     memset(vm, 0, sizeof(*vm));
     cw_log_setup("error", "test");
-    ops = store_port_ops;
+    ops = fake_store_ops;
     ops.join = on_join;
     ops.leave = on_leave;
     vm->store.base.ops = &ops;
@@ -89,7 +90,7 @@
     struct cw_store_record record = {
         .key = key, .value = value->data, .length = value->len};
     struct cw_store_append append = {
-        .topic = CW_WORK_TOPIC, .records = &record, .count = 1};
+        .topic = CW_JOBS_TOPIC, .records = &record, .count = 1};
 
     store_model_append(vm->store.model, &append);
 }
@@ -146,10 +147,10 @@
 
     vm_begin(&vm, STRONG);
     announce(&vm, "other", STRONG);
-    vm.store.refuses = CW_STORE_REFUSED;
+    vm.store.answer_status = CW_STORE_REFUSED;
     run(&vm, 1000, false);
     CU_ASSERT_EQUAL(vm.joins, 0);
-    vm.store.refuses = CW_STORE_OK;
+    vm.store.answer_status = CW_STORE_OK;
     run(&vm, 1000, true);
     CU_ASSERT_TRUE(vm.joins > 1);
     CU_ASSERT_EQUAL(vm.leaves, 0);
@@ -192,9 +193,9 @@
     vm_begin(&vm, WEAK);
     announce_strong(&vm);
     run(&vm, 1000, true);
-    vm.store.refuses = CW_STORE_REFUSED;
+    vm.store.answer_status = CW_STORE_REFUSED;
     run(&vm, 10000, false);
-    vm.store.refuses = CW_STORE_OK;
+    vm.store.answer_status = CW_STORE_OK;
     run(&vm, 2000, false);
     CU_ASSERT_EQUAL(vm.joins, 0);
     run(&vm, 3000, false);
@@ -211,7 +212,7 @@
     announce_strong(&vm);
     run(&vm, 5000, false);
     CU_ASSERT_TRUE(vm.joins > 0);
-    vm.owner->holds_partition = true;
+    vm.owner->partition_assigned = true;
     run(&vm, 5000, true);
     CU_ASSERT_EQUAL(vm.leaves, 0);
     announce(&vm, "other", STRONG); /* it was started again */
@@ -219,7 +220,7 @@
     run(&vm, 2000, true); /* nobody has shut it out yet */
     CU_ASSERT_EQUAL(vm.leaves, 1);
     CU_ASSERT_TRUE(vm.joins <= 2); /* before it read of it */
-    vm.owner->holds_partition = false;
+    vm.owner->partition_assigned = false;
     vm.joins = 0;
     run(&vm, 5000, true);
     CU_ASSERT_EQUAL(vm.joins, 0);
@@ -280,12 +281,12 @@
     vm_begin(&vm, STRONG);
     announce_strong(&vm);
     run(&vm, 2000, false);
-    CU_ASSERT_FALSE(owner_candidacy_beat_due(vm.owner, vm.clock.now));
+    CU_ASSERT_FALSE(owner_candidacy_heartbeat_due(vm.owner, vm.clock.now));
     announce(&vm, "small", WEAK);
     run(&vm, 500, false);
-    CU_ASSERT_TRUE(owner_candidacy_beat_due(vm.owner, vm.clock.now));
+    CU_ASSERT_TRUE(owner_candidacy_heartbeat_due(vm.owner, vm.clock.now));
     owner_log_open(vm.owner->jobs_log, 1); /* it has written just now */
-    CU_ASSERT_FALSE(owner_candidacy_beat_due(vm.owner, vm.clock.now));
+    CU_ASSERT_FALSE(owner_candidacy_heartbeat_due(vm.owner, vm.clock.now));
     vm_end(&vm);
 }
 
@@ -294,7 +295,7 @@
 count_fences(struct cw_store *store, const struct cw_store_append *call)
 {
     current->fences += call->count == 0;
-    store_port_append(store, call);
+    fake_store_append(store, call);
 }
 
 static void
@@ -320,12 +321,12 @@
     for (unsigned i = 0; i < 500; i++) {
         beat(&vm);
     }
-    vm.store.page_most = 1; /* far behind: a record an answer */
+    vm.store.page_records_max = 1; /* far behind: a record an answer */
     vm.owner->generation = 7;
-    owner_begin(vm.owner, vm.clock.now);
+    owner_take_over(vm.owner, vm.clock.now);
     tick_owner(&vm, 300);
     CU_ASSERT_EQUAL(vm.fences, 0);
-    vm.store.page_most = 0;
+    vm.store.page_records_max = 0;
     tick_owner(&vm, 300);
     CU_ASSERT_EQUAL(vm.fences, 2); /* one a log: states, jobs */
     CU_ASSERT_TRUE(cw_owner_active(vm.owner));
--- a/tests/test_headroom.c
+++ b/tests/test_headroom.c
@@ -14,12 +14,12 @@
     struct timespec now = cw_time_from_ms(START_MS);
 
     cw_headroom_init(&headroom, now);
-    CU_ASSERT_EQUAL(cw_headroom_kept(&headroom), 0);
+    CU_ASSERT_EQUAL(cw_headroom_reserved(&headroom), 0);
     cw_headroom_observe(&headroom, HELD, now);
-    CU_ASSERT_EQUAL(cw_headroom_kept(&headroom), HELD);
+    CU_ASSERT_EQUAL(cw_headroom_reserved(&headroom), HELD);
     now = cw_time_add_ms(now, 100);
     cw_headroom_observe(&headroom, 2 * HELD, now);
-    CU_ASSERT_EQUAL(cw_headroom_kept(&headroom), 2 * HELD);
+    CU_ASSERT_EQUAL(cw_headroom_reserved(&headroom), 2 * HELD);
 }
 
 /* A peak that does not come again is given up within half a minute, and half
@@ -36,12 +36,12 @@
         now = cw_time_add_ms(now, 1000);
         cw_headroom_observe(&headroom, 0, now);
     }
-    CU_ASSERT_TRUE(cw_headroom_kept(&headroom) > HELD / 2.0);
+    CU_ASSERT_TRUE(cw_headroom_reserved(&headroom) > HELD / 2.0);
     for (unsigned s = 0; s < 30; s++) {
         now = cw_time_add_ms(now, 1000);
         cw_headroom_observe(&headroom, 0, now);
     }
-    CU_ASSERT_TRUE(cw_headroom_kept(&headroom) < HELD / 20.0);
+    CU_ASSERT_TRUE(cw_headroom_reserved(&headroom) < HELD / 20.0);
 }
 
 /* What has just been asked for counts before it holds anything, and no longer
@@ -56,14 +56,14 @@
     cw_headroom_init(&headroom, now);
     cw_headroom_arrived(&headroom, HELD);
     cw_headroom_observe(&headroom, 0, now);
-    kept = cw_headroom_kept(&headroom);
+    kept = cw_headroom_reserved(&headroom);
     CU_ASSERT_TRUE(kept > 0 && kept < HELD);
     now = cw_time_add_ms(now, 2000);
     cw_headroom_observe(&headroom, 0, now);
-    CU_ASSERT_TRUE(cw_headroom_kept(&headroom) < kept);
+    CU_ASSERT_TRUE(cw_headroom_reserved(&headroom) < kept);
     now = cw_time_add_ms(now, 10000);
     cw_headroom_observe(&headroom, 0, now);
-    CU_ASSERT_EQUAL(cw_headroom_kept(&headroom), 0);
+    CU_ASSERT_EQUAL(cw_headroom_reserved(&headroom), 0);
 }
 
 /* What will come is a part of what is kept, without what is held. */
@@ -75,14 +75,14 @@
     double arriving;
 
     cw_headroom_init(&headroom, now);
-    CU_ASSERT_EQUAL(cw_headroom_arriving(&headroom), 0);
+    CU_ASSERT_EQUAL(cw_headroom_expected_arrivals(&headroom), 0);
     cw_headroom_arrived(&headroom, HELD);
     cw_headroom_observe(&headroom, 0, now);
-    arriving = cw_headroom_arriving(&headroom);
-    CU_ASSERT_EQUAL(arriving, cw_headroom_kept(&headroom));
+    arriving = cw_headroom_expected_arrivals(&headroom);
+    CU_ASSERT_EQUAL(arriving, cw_headroom_reserved(&headroom));
     cw_headroom_observe(&headroom, HELD, now);
-    CU_ASSERT_EQUAL(cw_headroom_arriving(&headroom), arriving);
-    CU_ASSERT_EQUAL(cw_headroom_kept(&headroom), HELD + arriving);
+    CU_ASSERT_EQUAL(cw_headroom_expected_arrivals(&headroom), arriving);
+    CU_ASSERT_EQUAL(cw_headroom_reserved(&headroom), HELD + arriving);
 }
 
 /* An owner that was away for a minute begins anew. */
@@ -97,7 +97,7 @@
     cw_headroom_observe(&headroom, HELD, now);
     now = cw_time_add_ms(now, 60000);
     cw_headroom_observe(&headroom, 10, now);
-    CU_ASSERT_EQUAL(cw_headroom_kept(&headroom), 10);
+    CU_ASSERT_EQUAL(cw_headroom_reserved(&headroom), 10);
 }
 
 static const struct test tests[] = {
--- a/tests/test_hints.c
+++ b/tests/test_hints.c
@@ -10,7 +10,7 @@
  * Proof: here the next owner, which never hears the worker, knows the end. */
 #include "test_main.h"
 
-#include "owner_bed.h"
+#include "owner_fixture.h"
 
 #define WORKER "w"
 
@@ -25,7 +25,7 @@
     struct cw_ended ended[TASKS] = {0};
     struct cw_target_answer answer = {.status = CW_TARGET_OK,
                                       .clock_ms = CLOCK_MS,
-                                      .born_ms = 1,
+                                      .boot_ms = 1,
                                       .running = running,
                                       .running_count = TASKS - done,
                                       .ended = ended,
@@ -54,88 +54,88 @@
 }
 
 static void
-run_answered(struct bed *bed, unsigned ms, unsigned done)
+run_answered(struct fixture *fixture, unsigned ms, unsigned done)
 {
     for (unsigned passed = 0; passed < ms; passed += STEP_MS) {
-        run(bed, STEP_MS);
+        run(fixture, STEP_MS);
         answer_looks(done);
     }
 }
 
 /* An owner of a job whose tasks run on a worker that answers. */
 static void
-bed_with_runs(struct bed *bed)
+bed_with_runs(struct fixture *fixture)
 {
-    bed_begin(bed);
-    put_spec(bed);
-    put_state(bed, CW_STATE_TOPIC, CW_WORK_RUNNING);
-    take_over(bed);
-    CU_ASSERT_PTR_NOT_NULL_FATAL(the_worker(bed));
-    list_worker(bed);
-    run_answered(bed, WAIT_MS, 0);
-    CU_ASSERT_EQUAL(the_job(bed)->runs, TASKS);
+    fixture_begin(fixture);
+    put_spec(fixture);
+    put_state(fixture, CW_STATE_TOPIC, CW_WORK_RUNNING);
+    take_over(fixture);
+    CU_ASSERT_PTR_NOT_NULL_FATAL(the_worker(fixture));
+    make_worker_reachable(fixture);
+    run_answered(fixture, WAIT_MS, 0);
+    CU_ASSERT_EQUAL(the_job(fixture)->runs, TASKS);
 }
 
 /* Cut off from the store, the owner hears of ends, and is replaced; the worker
  * leaves, or stays. */
 static void
-see_ends_behind_a_cut(struct bed *bed, bool leaves)
+see_ends_behind_a_cut(struct fixture *fixture, bool leaves)
 {
-    bed_with_runs(bed);
-    bed->store.refuses = CW_STORE_UNKNOWN;
-    the_worker(bed)->draining = leaves;
-    run_answered(bed, 200, DONE);
-    CU_ASSERT_EQUAL(step_of(the_job(bed))->left, TASKS - DONE);
-    owner_depose(bed->owner, "test");
-    bed->owner->holds_partition = false;
-    bed->generation++;
+    bed_with_runs(fixture);
+    fixture->store.answer_status = CW_STORE_UNKNOWN;
+    the_worker(fixture)->draining = leaves;
+    run_answered(fixture, 200, DONE);
+    CU_ASSERT_EQUAL(step_of(the_job(fixture))->left, TASKS - DONE);
+    owner_drop_ownership(fixture->owner, "test");
+    fixture->owner->partition_assigned = false;
+    fixture->generation++;
 }
 
 static void
-next_vm_decides(struct bed *bed)
+next_vm_decides(struct fixture *fixture)
 {
-    vm_end(bed);
-    vm_begin(bed);
-    take_over(bed);
-    CU_ASSERT_TRUE_FATAL(cw_owner_active(bed->owner));
+    vm_end(fixture);
+    vm_begin(fixture);
+    take_over(fixture);
+    CU_ASSERT_TRUE_FATAL(cw_owner_active(fixture->owner));
 }
 
 static unsigned
-hints_known(const struct bed *bed)
+hints_known(const struct fixture *fixture)
 {
-    return cw_replica_find(bed->replica, ID)->hints->len;
+    return cw_replica_find_job(fixture->replica, ID)->hints->len;
 }
 
 static void
 test_the_next_owner_knows_ends_that_could_not_be_stored(void)
 {
-    struct bed bed;
+    struct fixture fixture;
 
-    see_ends_behind_a_cut(&bed, true);
-    run(&bed, WAIT_MS);
-    bed.store.refuses = CW_STORE_OK;
-    run(&bed, WAIT_MS);
-    next_vm_decides(&bed);
-    CU_ASSERT_EQUAL(hints_known(&bed), 1);
-    CU_ASSERT_EQUAL(step_of(the_job(&bed))->left, TASKS - DONE);
-    CU_ASSERT_EQUAL(the_job(&bed)->runs, TASKS - DONE);
-    bed_end(&bed);
+    see_ends_behind_a_cut(&fixture, true);
+    run(&fixture, WAIT_MS);
+    fixture.store.answer_status = CW_STORE_OK;
+    run(&fixture, WAIT_MS);
+    next_vm_decides(&fixture);
+    CU_ASSERT_EQUAL(hints_known(&fixture), 1);
+    CU_ASSERT_EQUAL(step_of(the_job(&fixture))->left, TASKS - DONE);
+    CU_ASSERT_EQUAL(the_job(&fixture)->runs, TASKS - DONE);
+    fixture_end(&fixture);
 }
 
 /* The former owner comes back to the store later. */
 static void
 test_an_owner_that_decides_already_takes_them(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     struct store_model_page page;
     struct cw_store_record hint = {0};
     char *key = NULL;
     GByteArray *value = g_byte_array_new();
 
-    see_ends_behind_a_cut(&bed, true);
-    bed.store.refuses = CW_STORE_OK;
-    run(&bed, WAIT_MS);
-    store_model_newest(bed.store.model, CW_WORK_TOPIC, NULL, &page);
+    see_ends_behind_a_cut(&fixture, true);
+    fixture.store.answer_status = CW_STORE_OK;
+    run(&fixture, WAIT_MS);
+    store_model_newest(fixture.store.model, CW_JOBS_TOPIC, NULL, &page);
     for (size_t i = 0; i < page.page.count; i++) {
         hint = page.page.records[i];
         if (hint.key[0] == CW_WORK_KEY_HINT) {
@@ -145,23 +145,23 @@
     }
     store_model_page_clear(&page);
     CU_ASSERT_PTR_NOT_NULL_FATAL(key);
-    bed_end(&bed);
+    fixture_end(&fixture);
 
-    bed_with_runs(&bed);
+    bed_with_runs(&fixture);
     hint = (struct cw_store_record){.key = key,
                                     .value = value->data,
                                     .length = value->len,
                                     .offset = 1000};
-    cw_replica_apply(bed.replica, &hint);
-    cw_replica_apply(bed.replica, &hint); /* may be given again */
-    CU_ASSERT_EQUAL(step_of(the_job(&bed))->left, TASKS - DONE);
-    CU_ASSERT_EQUAL(the_job(&bed)->runs, TASKS - DONE);
+    cw_replica_apply(fixture.replica, &hint);
+    cw_replica_apply(fixture.replica, &hint); /* may be given again */
+    CU_ASSERT_EQUAL(step_of(the_job(&fixture))->left, TASKS - DONE);
+    CU_ASSERT_EQUAL(the_job(&fixture)->runs, TASKS - DONE);
     /* The worker lists them as well. */
-    run_answered(&bed, 200, DONE);
-    CU_ASSERT_EQUAL(step_of(the_job(&bed))->left, TASKS - DONE);
+    run_answered(&fixture, 200, DONE);
+    CU_ASSERT_EQUAL(step_of(the_job(&fixture))->left, TASKS - DONE);
     g_free(key);
     g_byte_array_unref(value);
-    bed_end(&bed);
+    fixture_end(&fixture);
 }
 
 /* A worker that stays lists its ends to the next owner: 2,300 of them after an
@@ -169,31 +169,31 @@
 static void
 test_ends_of_workers_that_stay_are_not_told(void)
 {
-    struct bed bed;
+    struct fixture fixture;
 
-    see_ends_behind_a_cut(&bed, false);
-    bed.store.refuses = CW_STORE_OK;
-    run(&bed, WAIT_MS);
-    next_vm_decides(&bed);
-    CU_ASSERT_EQUAL(hints_known(&bed), 0);
-    bed_end(&bed);
+    see_ends_behind_a_cut(&fixture, false);
+    fixture.store.answer_status = CW_STORE_OK;
+    run(&fixture, WAIT_MS);
+    next_vm_decides(&fixture);
+    CU_ASSERT_EQUAL(hints_known(&fixture), 0);
+    fixture_end(&fixture);
 }
 
 /* Nothing is told of what is stored. */
 static void
 test_stored_ends_are_not_told(void)
 {
-    struct bed bed;
+    struct fixture fixture;
 
-    bed_with_runs(&bed);
-    run_answered(&bed, WAIT_MS, DONE);
-    owner_depose(bed.owner, "test");
-    bed.generation++;
-    run(&bed, WAIT_MS);
-    next_vm_decides(&bed);
-    CU_ASSERT_EQUAL(hints_known(&bed), 0);
-    CU_ASSERT_EQUAL(step_of(the_job(&bed))->left, TASKS - DONE);
-    bed_end(&bed);
+    bed_with_runs(&fixture);
+    run_answered(&fixture, WAIT_MS, DONE);
+    owner_drop_ownership(fixture.owner, "test");
+    fixture.generation++;
+    run(&fixture, WAIT_MS);
+    next_vm_decides(&fixture);
+    CU_ASSERT_EQUAL(hints_known(&fixture), 0);
+    CU_ASSERT_EQUAL(step_of(the_job(&fixture))->left, TASKS - DONE);
+    fixture_end(&fixture);
 }
 
 /* Of a run that was given up, only that it is done still counts. */
@@ -229,13 +229,13 @@
     };
     const struct cw_hint_record hint = {
         .ends = {.ends_len = G_N_ELEMENTS(ends), .ends_val = ends}};
-    struct bed bed;
+    struct fixture fixture;
     struct owner_step *step;
 
-    bed_with_runs(&bed);
-    step = step_of(the_job(&bed));
-    owner_hint_apply(bed.owner, ID, &hint);
-    owner_hint_apply(bed.owner, "0000000000000000", &hint);
+    bed_with_runs(&fixture);
+    step = step_of(the_job(&fixture));
+    owner_hint_apply(fixture.owner, ID, &hint);
+    owner_hint_apply(fixture.owner, "0000000000000000", &hint);
     CU_ASSERT_TRUE(step->tasks[0].done);
     CU_ASSERT_TRUE(step->tasks[0].run->stopping);
     CU_ASSERT_FALSE(step->tasks[1].done);
@@ -244,25 +244,25 @@
     CU_ASSERT_TRUE(step->tasks[2].done);
     CU_ASSERT_FALSE(step->tasks[3].done);
     CU_ASSERT_EQUAL(step->left, TASKS - 2);
-    bed_end(&bed);
+    fixture_end(&fixture);
 }
 
 static void
 test_a_hint_that_cannot_be_read_is_passed_over(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     GByteArray *bytes = g_byte_array_new();
 
-    bed_begin(&bed);
-    put_spec(&bed);
-    put_state(&bed, CW_STATE_TOPIC, CW_WORK_RUNNING);
+    fixture_begin(&fixture);
+    put_spec(&fixture);
+    put_state(&fixture, CW_STATE_TOPIC, CW_WORK_RUNNING);
     g_byte_array_append(bytes, (const guint8 *)"\1\2\3", 3);
-    put(&bed, CW_WORK_TOPIC, "h" ID ".x", bytes);
-    take_over(&bed);
-    CU_ASSERT_EQUAL(hints_known(&bed), 0);
-    CU_ASSERT_EQUAL(step_of(the_job(&bed))->left, TASKS);
+    put(&fixture, CW_JOBS_TOPIC, "h" ID ".x", bytes);
+    take_over(&fixture);
+    CU_ASSERT_EQUAL(hints_known(&fixture), 0);
+    CU_ASSERT_EQUAL(step_of(the_job(&fixture))->left, TASKS);
     g_byte_array_unref(bytes);
-    bed_end(&bed);
+    fixture_end(&fixture);
 }
 
 static const struct test tests[] = {
--- a/tests/test_http_server.c
+++ b/tests/test_http_server.c
@@ -60,8 +60,8 @@
         .address = "127.0.0.1",
         .threads = 1,
         .connections = 16,
-        .idle_s = 60,
-        .body_max = 1024,
+        .idle_timeout_s = 60,
+        .body_bytes_max = 1024,
         .handle = handle,
         .context = gate,
     };
@@ -138,14 +138,14 @@
     struct cw_http_server *server = serve(&gate);
     int connection;
 
-    CU_ASSERT_EQUAL(cw_http_server_calls(server), 0);
+    CU_ASSERT_EQUAL(cw_http_server_active_calls(server), 0);
     connection = send_request(cw_http_server_port(server));
     gate_wait(&gate, 1);
-    CU_ASSERT_EQUAL(cw_http_server_calls(server), 1);
+    CU_ASSERT_EQUAL(cw_http_server_active_calls(server), 1);
     gate_open(&gate);
     CU_ASSERT_TRUE(read_answer(connection));
     /* Its end is noted on the server's thread, at the latest here. */
-    while (cw_http_server_calls(server) > 0) {
+    while (cw_http_server_active_calls(server) > 0) {
         usleep(1000);
     }
     cw_http_server_free(server);
--- a/tests/test_idle.c
+++ b/tests/test_idle.c
@@ -27,7 +27,7 @@
 look(struct cw_idle *idle, unsigned from, unsigned until, bool has_room)
 {
     for (unsigned ms = from; ms < until; ms += LOOK_MS) {
-        cw_idle_look(idle, has_room, at(ms));
+        cw_idle_check(idle, has_room, at(ms));
         if (cw_idle_is_overdue(idle, at(ms))) {
             return ms;
         }
@@ -117,11 +117,11 @@
 {
     struct cw_idle idle = begin();
 
-    CU_ASSERT_EQUAL(cw_idle_room_ms(&idle, at(500)), 0);
-    cw_idle_look(&idle, true, at(500));
-    CU_ASSERT_EQUAL(cw_idle_room_ms(&idle, at(900)), 400);
-    cw_idle_look(&idle, false, at(1000));
-    CU_ASSERT_EQUAL(cw_idle_room_ms(&idle, at(1100)), 0);
+    CU_ASSERT_EQUAL(cw_idle_free_ms(&idle, at(500)), 0);
+    cw_idle_check(&idle, true, at(500));
+    CU_ASSERT_EQUAL(cw_idle_free_ms(&idle, at(900)), 400);
+    cw_idle_check(&idle, false, at(1000));
+    CU_ASSERT_EQUAL(cw_idle_free_ms(&idle, at(1100)), 0);
 }
 
 static const struct test tests[] = {
--- a/tests/test_still.c
+++ b/tests/test_idle_causes.c
@@ -50,7 +50,7 @@
     guint before = unanswered->len;
 
     site->clock.now = cw_time_add_ms(site->clock.now, ms);
-    site->owner->proof_at = site->clock.now;
+    site->owner->ownership_confirmed_at = site->clock.now;
     owner_orders_send(site->owner, target, site->clock.now);
     return unanswered->len > before && last_order.kind == CW_ORDER_START;
 }
@@ -67,11 +67,11 @@
         .status = CW_TARGET_OK, .running = &row, .running_count = 1};
     struct cw_target_order look;
 
-    site->owner->proof_at = site->clock.now;
-    run->target->hold_due = site->clock.now;
-    owner_hold_tick(site->owner, run->target, site->clock.now);
+    site->owner->ownership_confirmed_at = site->clock.now;
+    run->target->poll_due = site->clock.now;
+    owner_poll_tick(site->owner, run->target, site->clock.now);
     look = last_order;
-    CU_ASSERT_EQUAL(look.kind, CW_ORDER_HOLD);
+    CU_ASSERT_EQUAL(look.kind, CW_ORDER_POLL);
     g_array_set_size(unanswered, unanswered->len - 1);
     look.done(look.context, &answer);
 }
@@ -149,10 +149,10 @@
 static void
 send_look(struct site *site, struct owner_target *target)
 {
-    site->owner->proof_at = site->clock.now;
-    target->hold_due = site->clock.now;
-    owner_hold_tick(site->owner, target, site->clock.now);
-    CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_HOLD);
+    site->owner->ownership_confirmed_at = site->clock.now;
+    target->poll_due = site->clock.now;
+    owner_poll_tick(site->owner, target, site->clock.now);
+    CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_POLL);
 }
 
 static void
@@ -200,7 +200,7 @@
     send_look(&site, target);
     CU_ASSERT_TRUE(last_order.wait_ms > 0);
     answer_last(CW_TARGET_UNKNOWN);
-    CU_ASSERT_EQUAL(target->silent, 1);
+    CU_ASSERT_EQUAL(target->unanswered_polls, 1);
     send_look(&site, target);
     CU_ASSERT_EQUAL(last_order.wait_ms, 0);
     site_end(&site);
@@ -329,17 +329,18 @@
 static void
 keep_rack(struct site *site, struct owner_target *target)
 {
-    target->held_for = site; /* some other step */
-    target->held_priority = 1;
-    target->held_until = cw_time_add_ms(site->clock.now, 400);
+    target->rack_reserved_for = site; /* some other step */
+    target->rack_reserved_priority = 1;
+    target->rack_reserved_until = cw_time_add_ms(site->clock.now, 400);
 }
 
 static void
 keep_suspect(struct site *site, struct owner_target *target)
 {
     if (target->runs->len == 0) {
-        target->life.suspect_until = cw_time_add_ms(site->clock.now, 7000);
-        target->life.slow_until = target->life.suspect_until;
+        target->incarnation.suspect_until =
+            cw_time_add_ms(site->clock.now, 7000);
+        target->incarnation.slow_until = target->incarnation.suspect_until;
     }
 }
 
--- a/tests/test_waits.c
+++ b/tests/test_idle_jobs.c
@@ -21,7 +21,7 @@
      unsigned index)
 {
     struct owner_task *task = &step_of(job)->tasks[index];
-    struct cw_ended ended = {.number = target->life.ends_applied + 1,
+    struct cw_ended ended = {.number = target->incarnation.ends_applied + 1,
                              .task = owner_task_name(task),
                              .run = task->last_run + 1,
                              .how = CW_END_KIND_FAILED,
@@ -32,7 +32,7 @@
     }
     owner_run_create(site->owner, task, target, RUN_RUNNING,
                      task->last_run + 1);
-    target->life.ends_applied++;
+    target->incarnation.ends_applied++;
     owner_run_ended(site->owner, target, &ended);
 }
 
@@ -75,8 +75,8 @@
     struct cw_owner_stats stats;
 
     site->clock.now = cw_time_add_ms(site->clock.now, ms);
-    site->owner->proof_at = site->clock.now;
-    owner_waits_tick(site->owner, site->clock.now);
+    site->owner->ownership_confirmed_at = site->clock.now;
+    owner_idle_tick(site->owner, site->clock.now);
     cw_owner_stats(site->owner, &stats);
     return stats;
 }
@@ -160,12 +160,12 @@
     running = run_job(&site, 0, &most);
     job = add_job(&site, 1, &all_there);
     look_after(&site, 3500);
-    CU_ASSERT_EQUAL(job->idle.clock.room_since.tv_sec, 0);
+    CU_ASSERT_EQUAL(job->idle.clock.free_since.tv_sec, 0);
     owner_run_drop(site.owner, step_of(running)->tasks[0].run);
     look_after(&site, 500);
     look_after(&site, 1000);
     CU_ASSERT_EQUAL(
-        cw_time_diff_ms(job->idle.clock.room_since, site.clock.now), 1000);
+        cw_time_diff_ms(job->idle.clock.free_since, site.clock.now), 1000);
     site_end(&site);
 }
 
@@ -217,7 +217,7 @@
     (void)add_job(&site, 1, &two);
     CU_ASSERT_EQUAL(look_after(&site, 3500).waiting, 1);
     site.clock.now = cw_time_add_ms(site.clock.now, 8000);
-    owner_waits_tick(site.owner, site.clock.now);
+    owner_idle_tick(site.owner, site.clock.now);
     CU_ASSERT_EQUAL(site.owner->waits.jobs, 0);
     CU_ASSERT_EQUAL(look_after(&site, 600).waiting, 1);
     site_end(&site);
--- a/tests/test_late.c
+++ b/tests/test_late_ends.c
@@ -11,7 +11,8 @@
     struct owner_job *job = run_job(site, 1, &one);
 
     *first = step_of(job)->tasks[0].run->target;
-    (*first)->life.suspect_until = cw_time_add_ms(site->clock.now, 60000);
+    (*first)->incarnation.suspect_until =
+        cw_time_add_ms(site->clock.now, 60000);
     owner_run_lost(site->owner, step_of(job)->tasks[0].run, true, "test");
     pass(site, 10);
     return job;
@@ -107,14 +108,14 @@
     job = add_job(&site, 0, &one);
     pass(&site, 10);
     CU_ASSERT_EQUAL(placed(job), 0);
-    site.owner->proof_at = site.clock.now;
-    owner_hold_tick(site.owner, target, site.clock.now);
-    CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_HOLD);
+    site.owner->ownership_confirmed_at = site.clock.now;
+    owner_poll_tick(site.owner, target, site.clock.now);
+    CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_POLL);
     CU_ASSERT_EQUAL(last_order.lease_until_ms, 0);
     answer_last(CW_TARGET_OK);
     pass(&site, 10);
     CU_ASSERT_EQUAL(placed(job), 1);
-    CU_ASSERT_PTR_EQUAL(place_of(job, 0), target);
+    CU_ASSERT_PTR_EQUAL(worker_of(job, 0), target);
     site_end(&site);
 }
 
@@ -131,15 +132,15 @@
     job = run_job(&site, 1, &one);
     target = step_of(job)->tasks[0].run->target;
     target->lease_end = cw_time_add_ms(site.clock.now, 1000);
-    target->seen_at = site.clock.now;
+    target->answered_poll_sent_at = site.clock.now;
     site.clock.now = cw_time_add_ms(site.clock.now, 2000);
-    site.owner->proof_at = site.clock.now;
-    owner_hold_tick(site.owner, target, site.clock.now);
+    site.owner->ownership_confirmed_at = site.clock.now;
+    owner_poll_tick(site.owner, target, site.clock.now);
     CU_ASSERT_EQUAL(placed(job), 1);
-    CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_HOLD);
+    CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_POLL);
     CU_ASSERT_EQUAL(last_order.lease_until_ms, 0);
     answer_last(CW_TARGET_UNREACHABLE);
-    owner_hold_tick(site.owner, target, site.clock.now);
+    owner_poll_tick(site.owner, target, site.clock.now);
     CU_ASSERT_EQUAL(placed(job), 0);
     site_end(&site);
 }
@@ -152,10 +153,10 @@
     int64_t until_ms;
 
     site->clock.now = cw_time_add_ms(site->clock.now, 1000);
-    site->owner->proof_at = site->clock.now;
-    target->hold_due = site->clock.now;
-    owner_hold_tick(site->owner, target, site->clock.now);
-    CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_HOLD);
+    site->owner->ownership_confirmed_at = site->clock.now;
+    target->poll_due = site->clock.now;
+    owner_poll_tick(site->owner, target, site->clock.now);
+    CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_POLL);
     until_ms = last_order.lease_until_ms;
     answer_last(CW_TARGET_OK);
     return until_ms;
@@ -189,30 +190,30 @@
     target = run->target;
     run->phase = RUN_READY;
     name = owner_task_name(run->task);
-    site.owner->proof_at = site.clock.now;
+    site.owner->ownership_confirmed_at = site.clock.now;
     owner_order_queue(site.owner, target, CW_ORDER_START, &name, run->number);
     owner_orders_send(site.owner, target, site.clock.now);
     answer_last(CW_TARGET_UNKNOWN);
-    target->silent = 1;
+    target->unanswered_polls = 1;
     site.clock.now = cw_time_add_ms(target->lease_end, 1);
-    owner_hold_tick(site.owner, target, site.clock.now);
+    owner_poll_tick(site.owner, target, site.clock.now);
     CU_ASSERT_EQUAL(placed(job), 0);
-    answer_rest();
+    answer_remaining();
     unanswered = g_array_new(FALSE, FALSE, sizeof(struct cw_target_order));
     CU_ASSERT_EQUAL(look_and_answer(&site, target), 0); /* a first look */
     for (unsigned tries = 0; tries < 2; tries++) {
-        int64_t before_ms = target->life.lease_sent_ms;
+        int64_t before_ms = target->incarnation.lease_sent_ms;
 
         CU_ASSERT_FALSE(owner_target_reachable(target, later(&site)));
         CU_ASSERT_EQUAL(
-            owner_target_lease(target, CW_ORDER_HOLD, site.clock.now),
+            owner_lease_grant(target, CW_ORDER_POLL, site.clock.now),
             before_ms);
         site.clock.now = cw_time_add_ms(site.clock.now, 300);
-        site.owner->proof_at = site.clock.now;
+        site.owner->ownership_confirmed_at = site.clock.now;
         owner_orders_send(site.owner, target, site.clock.now);
         CU_ASSERT_EQUAL_FATAL(last_order.kind, CW_ORDER_STOP);
         CU_ASSERT_EQUAL(last_order.run, 1);
-        last_order.kind = CW_ORDER_HOLD;
+        last_order.kind = CW_ORDER_POLL;
         answer_last(tries == 0 ? CW_TARGET_UNKNOWN : CW_TARGET_OK);
     }
     CU_ASSERT_TRUE(owner_target_reachable(target, later(&site)));
--- a/tests/test_leases.c
+++ b/tests/test_leases.c
@@ -2,7 +2,7 @@
  * for that. */
 #include "test_main.h"
 
-#include "owner_bed.h"
+#include "owner_fixture.h"
 
 enum {
     /* A lease on the slowest clock, and what an order may be late. */
@@ -18,24 +18,25 @@
 /* An owner that has decided for long, and has runs on a worker that answers
  * it. */
 static void
-bed_with_settled_owner(struct bed *bed)
+bed_with_settled_owner(struct fixture *fixture)
 {
-    bed_begin(bed);
-    put_spec(bed);
-    put_state(bed, CW_STATE_TOPIC, CW_WORK_RUNNING);
-    take_over(bed);
-    list_worker(bed);
-    (void)run_all_answered(bed, SETTLED_MS);
-    CU_ASSERT_EQUAL_FATAL(the_job(bed)->runs, TASKS);
-    CU_ASSERT_EQUAL_FATAL(the_worker(bed)->note, OWNER_NOTE_NONE);
+    fixture_begin(fixture);
+    put_spec(fixture);
+    put_state(fixture, CW_STATE_TOPIC, CW_WORK_RUNNING);
+    take_over(fixture);
+    make_worker_reachable(fixture);
+    (void)run_answering_polls(fixture, SETTLED_MS);
+    CU_ASSERT_EQUAL_FATAL(the_job(fixture)->runs, TASKS);
+    CU_ASSERT_EQUAL_FATAL(the_worker(fixture)->lease_note,
+                          OWNER_LEASE_NOTE_NONE);
 }
 
 /* The next owner has taken the runs over. */
 static void
-replace_owner_with_runs(struct bed *bed, const char *vm)
+replace_owner_with_runs(struct fixture *fixture, const char *vm)
 {
-    replace_owner(bed, vm);
-    CU_ASSERT_EQUAL_FATAL(the_job(bed)->runs, TASKS);
+    replace_owner(fixture, vm);
+    CU_ASSERT_EQUAL_FATAL(the_job(fixture)->runs, TASKS);
 }
 
 /* Guards against jobs that wait for 12.6 s from a take-over for a worker that
@@ -43,18 +44,18 @@
 static void
 test_an_answer_bounds_what_earlier_owners_gave(void)
 {
-    struct bed bed;
+    struct fixture fixture;
 
-    bed_begin(&bed);
-    put_spec(&bed);
-    put_state(&bed, CW_STATE_TOPIC, CW_WORK_RUNNING);
-    take_over(&bed);
-    CU_ASSERT_TRUE(lease_left_ms(&bed) > LEASE_MOST_MS);
-    list_worker(&bed);
-    (void)run_all_answered(&bed, 500);
-    CU_ASSERT_TRUE(lease_left_ms(&bed) <= LEASE_MOST_MS);
-    CU_ASSERT_TRUE(lease_left_ms(&bed) >= LEASE_MS - 1000);
-    bed_end(&bed);
+    fixture_begin(&fixture);
+    put_spec(&fixture);
+    put_state(&fixture, CW_STATE_TOPIC, CW_WORK_RUNNING);
+    take_over(&fixture);
+    CU_ASSERT_TRUE(lease_left_ms(&fixture) > LEASE_MOST_MS);
+    make_worker_reachable(&fixture);
+    (void)run_answering_polls(&fixture, 500);
+    CU_ASSERT_TRUE(lease_left_ms(&fixture) <= LEASE_MOST_MS);
+    CU_ASSERT_TRUE(lease_left_ms(&fixture) >= LEASE_MS - 1000);
+    fixture_end(&fixture);
 }
 
 /* Guards against waiting for leases that a VM could still extend, where that
@@ -62,12 +63,12 @@
 static void
 test_a_restarted_vm_extends_no_leases_of_its_former_life(void)
 {
-    struct bed bed;
+    struct fixture fixture;
 
-    bed_with_settled_owner(&bed);
-    replace_owner_with_runs(&bed, "this");
-    CU_ASSERT_TRUE(lease_left_ms(&bed) <= LEASE_MOST_MS);
-    bed_end(&bed);
+    bed_with_settled_owner(&fixture);
+    replace_owner_with_runs(&fixture, "this");
+    CU_ASSERT_TRUE(lease_left_ms(&fixture) <= LEASE_MOST_MS);
+    fixture_end(&fixture);
 }
 
 /* Guards against waiting for orders of this owner that arrive late, where none
@@ -75,20 +76,20 @@
 static void
 test_orders_without_a_lease_lengthen_none(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     struct timespec end;
 
-    bed_with_settled_owner(&bed);
-    replace_owner_with_runs(&bed, "this");
-    list_worker(&bed);
-    end = the_worker(&bed)->lease_end;
-    the_worker(&bed)->orders_in_flight = 1;
-    run(&bed, 100);
-    answer_rest();
-    CU_ASSERT_TRUE(the_worker(&bed)->silent > 0);
-    CU_ASSERT_FALSE(cw_time_before(end, the_worker(&bed)->lease_end));
-    the_worker(&bed)->orders_in_flight = 0;
-    bed_end(&bed);
+    bed_with_settled_owner(&fixture);
+    replace_owner_with_runs(&fixture, "this");
+    make_worker_reachable(&fixture);
+    end = the_worker(&fixture)->lease_end;
+    the_worker(&fixture)->orders_in_flight = 1;
+    run(&fixture, 100);
+    answer_remaining();
+    CU_ASSERT_TRUE(the_worker(&fixture)->unanswered_polls > 0);
+    CU_ASSERT_FALSE(cw_time_before(end, the_worker(&fixture)->lease_end));
+    the_worker(&fixture)->orders_in_flight = 0;
+    fixture_end(&fixture);
 }
 
 /* Guards against waiting for leases that an owner could still extend, where it
@@ -96,15 +97,16 @@
 static void
 test_a_deposed_owner_tells_that_it_extends_no_more(void)
 {
-    struct bed bed;
+    struct fixture fixture;
 
-    bed_with_settled_owner(&bed);
-    owner_depose(bed.owner, "test");
-    bed.owner->join_in_flight = true; /* it does not gain the shard again */
-    run(&bed, 1000);
-    replace_owner_with_runs(&bed, "other");
-    CU_ASSERT_TRUE(lease_left_ms(&bed) <= LEASE_MOST_MS);
-    bed_end(&bed);
+    bed_with_settled_owner(&fixture);
+    owner_drop_ownership(fixture.owner, "test");
+    fixture.owner->join_in_flight =
+        true; /* it does not gain the shard again */
+    run(&fixture, 1000);
+    replace_owner_with_runs(&fixture, "other");
+    CU_ASSERT_TRUE(lease_left_ms(&fixture) <= LEASE_MOST_MS);
+    fixture_end(&fixture);
 }
 
 /* Guards against gangs that wait, as a whole, for the lease of a silent worker
@@ -119,7 +121,7 @@
     struct owner_target *target;
 
     site_begin(&site);
-    site.owner->proof_at = site.clock.now;
+    site.owner->ownership_confirmed_at = site.clock.now;
     job = add_job(&site, 1, &gang);
     pass(&site, 10);
     CU_ASSERT_EQUAL_FATAL(placed(job), 3);
@@ -131,8 +133,8 @@
         const struct cw_target_answer none = {.status = CW_TARGET_UNKNOWN};
 
         site.clock.now = cw_time_add_ms(site.clock.now, STEP_MS);
-        site.owner->proof_at = site.clock.now;
-        (void)owner_hold_tick(site.owner, target, site.clock.now);
+        site.owner->ownership_confirmed_at = site.clock.now;
+        (void)owner_poll_tick(site.owner, target, site.clock.now);
         while (unanswered != NULL && unanswered->len > 0) {
             struct cw_target_order order =
                 g_array_index(unanswered, struct cw_target_order, 0);
@@ -141,7 +143,7 @@
             order.done(order.context, &none);
         }
     }
-    CU_ASSERT_TRUE(target->silent > 1);
+    CU_ASSERT_TRUE(target->unanswered_polls > 1);
     CU_ASSERT_EQUAL(placed(job), 0);
     pass(&site, 10);
     CU_ASSERT_EQUAL(placed(job), 3);
@@ -173,16 +175,16 @@
     struct timespec end;
 
     site_begin(&site);
-    site.owner->proof_at = site.clock.now;
+    site.owner->ownership_confirmed_at = site.clock.now;
     target = step_of(run_job(&site, 0, &one))->tasks[0].run->target;
-    (void)owner_hold_tick(site.owner, target, site.clock.now);
-    CU_ASSERT_EQUAL_FATAL(last_order.kind, CW_ORDER_HOLD);
+    (void)owner_poll_tick(site.owner, target, site.clock.now);
+    CU_ASSERT_EQUAL_FATAL(last_order.kind, CW_ORDER_POLL);
     end = target->lease_end;
     CU_ASSERT_TRUE(cw_time_diff_ms(site.clock.now, end) >
-                   owner_lease_longest_ms(site.owner));
+                   owner_lease_max_granted_ms(site.owner));
     second = add_job(&site, 0, &one);
     pass(&site, 1500);
-    CU_ASSERT_PTR_EQUAL_FATAL(place_of(second, 0), target);
+    CU_ASSERT_PTR_EQUAL_FATAL(worker_of(second, 0), target);
     CU_ASSERT_PTR_EQUAL(send_start(&site, second), target);
     CU_ASSERT_EQUAL(cw_time_diff_ms(end, target->lease_end), 0);
     site_end(&site);
@@ -208,7 +210,7 @@
     until_ms = last_order.lease_until_ms;
     answer_last(CW_TARGET_UNKNOWN);
     site.clock.now = cw_time_add_ms(site.clock.now, 900);
-    site.owner->proof_at = site.clock.now;
+    site.owner->ownership_confirmed_at = site.clock.now;
     owner_orders_send(site.owner, target, site.clock.now);
     CU_ASSERT_EQUAL_FATAL(last_order.kind, CW_ORDER_START);
     CU_ASSERT_EQUAL(step_of(job)->tasks[0].run->unanswered, 1);
@@ -233,8 +235,8 @@
     target = send_start(&site, job);
     CU_ASSERT_TRUE(cw_time_diff_ms(site.clock.now, target->lease_end) <=
                    UNCONFIRMED_MOST_MS);
-    (void)owner_hold_tick(site.owner, target, site.clock.now);
-    CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_HOLD);
+    (void)owner_poll_tick(site.owner, target, site.clock.now);
+    CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_POLL);
     CU_ASSERT_TRUE(cw_time_diff_ms(site.clock.now, target->lease_end) <=
                    UNCONFIRMED_MOST_MS);
     site_end(&site);
@@ -251,11 +253,11 @@
     struct timespec next;
 
     site_begin(&site);
-    site.owner->proof_at = site.clock.now;
+    site.owner->ownership_confirmed_at = site.clock.now;
     target = step_of(run_job(&site, 0, &one))->tasks[0].run->target;
-    (void)owner_hold_tick(site.owner, target, site.clock.now);
-    CU_ASSERT_TRUE(target->hold_in_flight);
-    next = owner_hold_tick(site.owner, target, site.clock.now);
+    (void)owner_poll_tick(site.owner, target, site.clock.now);
+    CU_ASSERT_TRUE(target->poll_in_flight);
+    next = owner_poll_tick(site.owner, target, site.clock.now);
     CU_ASSERT_TRUE(cw_time_diff_ms(target->lease_end, next) >= 0);
     CU_ASSERT_TRUE(cw_time_diff_ms(target->lease_end, next) <= 1);
     site_end(&site);
@@ -274,7 +276,7 @@
     site_begin(&site);
     job = add_job(&site, 0, &one);
     pass(&site, 10);
-    step_of(job)->tasks[0].run->target->life.born_ms = 1;
+    step_of(job)->tasks[0].run->target->incarnation.boot_ms = 1;
     target = send_start(&site, job);
     CU_ASSERT_TRUE(cw_time_diff_ms(site.clock.now, target->lease_end) >=
                    LEASE_MS + LEASE_MS / 50);
--- a/tests/test_memo.c
+++ b/tests/test_memo.c
@@ -6,15 +6,15 @@
 static bool
 hopeless(struct site *site, struct owner_job *job, enum owner_attempt attempt)
 {
-    return owner_memo_hopeless(site->owner, step_of(job), attempt,
-                               site->clock.now);
+    return owner_memo_has_failed(site->owner, step_of(job), attempt,
+                                 site->clock.now);
 }
 
 static void
 fail(struct site *site, struct owner_job *job)
 {
-    owner_memo_failed(site->owner, step_of(job), OWNER_ATTEMPT_PLACE,
-                      site->clock.now);
+    owner_memo_add_failure(site->owner, step_of(job), OWNER_ATTEMPT_PLACE,
+                           site->clock.now);
 }
 
 static const struct cw_step_spec four = {.tasks = 4, .accelerators = 4};
@@ -37,7 +37,7 @@
     CU_ASSERT_FALSE(
         hopeless(&site, add_job(&site, 0, &four), OWNER_ATTEMPT_PLACE));
     CU_ASSERT_FALSE(
-        hopeless(&site, add_job(&site, 1, &four), OWNER_ATTEMPT_RECLAIM));
+        hopeless(&site, add_job(&site, 1, &four), OWNER_ATTEMPT_PREEMPT));
     site_end(&site);
 }
 
@@ -70,7 +70,7 @@
 
     site_begin(&site);
     fail(&site, add_job(&site, 1, &four));
-    site.owner->room_version++;
+    site.owner->capacity_version++;
     CU_ASSERT_FALSE(
         hopeless(&site, add_job(&site, 1, &four), OWNER_ATTEMPT_PLACE));
     site_end(&site);
@@ -85,7 +85,8 @@
     site_begin(&site);
     fail(&site, add_job(&site, 1, &four));
     holder = add_job(&site, 1, &four);
-    step_of(holder)->holds_until = cw_time_add_ms(site.clock.now, 1);
+    step_of(holder)->rack_reservation_until =
+        cw_time_add_ms(site.clock.now, 1);
     CU_ASSERT_FALSE(hopeless(&site, holder, OWNER_ATTEMPT_PLACE));
     site_end(&site);
 }
--- a/tests/test_moves.c
+++ b/tests/test_moves.c
@@ -20,7 +20,7 @@
     run->window_percent = SLOW_PERCENT - 1;
     run->window_at = site->clock.now;
     site->clock.now = cw_time_add_ms(site->clock.now, WINDOW_MS);
-    owner_speed_note(site->owner, run, SLOW_PERCENT, site->clock.now);
+    owner_speed_observe(site->owner, run, SLOW_PERCENT, site->clock.now);
 }
 
 static unsigned
@@ -139,7 +139,7 @@
                          owner_target_get(site.owner, workers[i]), RUN_RUNNING,
                          1);
     }
-    CU_ASSERT_STRING_EQUAL(place_of(job, 0)->rack, "r0");
+    CU_ASSERT_STRING_EQUAL(worker_of(job, 0)->rack, "r0");
     turn_slow(&site, step_of(job)->tasks[0].run);
     CU_ASSERT_EQUAL(stopping(job), 0);
     owner_run_drop(site.owner, step_of(small)->tasks[0].run);
--- a/tests/test_pace.c
+++ b/tests/test_order_window.c
@@ -11,68 +11,69 @@
 enum { ANSWERS = 400, TENTHS = 50 };
 
 static void
-answer_all(struct owner_pace *pace, int64_t took_ms)
+answer_all(struct owner_order_window *order_window, int64_t took_ms)
 {
     for (unsigned i = 0; i < ANSWERS; i++) {
-        owner_pace_answered(pace, took_ms);
+        owner_order_window_answered(order_window, took_ms);
     }
 }
 
 static void
 test_soon_answered_more_may_be_under_way(void)
 {
-    struct owner_pace pace = {0};
+    struct owner_order_window order_window = {0};
     unsigned first;
 
-    owner_pace_reset(&pace);
-    first = pace.most;
-    answer_all(&pace, 5);
+    owner_order_window_reset(&order_window);
+    first = order_window.max_in_flight;
+    answer_all(&order_window, 5);
     for (unsigned i = 0; i < TENTHS; i++) {
-        owner_pace_adjust(&pace);
+        owner_order_window_adjust(&order_window);
     }
-    CU_ASSERT_TRUE(pace.most > 8 * first);
-    pace.under_way = 8 * first;
-    CU_ASSERT_TRUE(owner_pace_allows(&pace, false));
+    CU_ASSERT_TRUE(order_window.max_in_flight > 8 * first);
+    order_window.in_flight = 8 * first;
+    CU_ASSERT_TRUE(owner_order_window_allows(&order_window, false));
 }
 
 static void
 test_answered_late_fewer_may_but_some_always(void)
 {
-    struct owner_pace pace = {0};
+    struct owner_order_window order_window = {0};
 
     cw_log_setup("error", "test");
-    owner_pace_reset(&pace);
-    answer_all(&pace, 400);
+    owner_order_window_reset(&order_window);
+    answer_all(&order_window, 400);
     for (unsigned i = 0; i < TENTHS; i++) {
-        owner_pace_adjust(&pace);
+        owner_order_window_adjust(&order_window);
     }
-    CU_ASSERT_TRUE(pace.most < 128);
-    CU_ASSERT_TRUE(owner_pace_allows(&pace, false));
-    pace.under_way = pace.most;
-    CU_ASSERT_FALSE(owner_pace_allows(&pace, false));
-    CU_ASSERT_TRUE(owner_pace_allows(&pace, true)); /* urgent work */
-    pace.under_way = 2 * pace.most;
-    CU_ASSERT_FALSE(owner_pace_allows(&pace, true));
+    CU_ASSERT_TRUE(order_window.max_in_flight < 128);
+    CU_ASSERT_TRUE(owner_order_window_allows(&order_window, false));
+    order_window.in_flight = order_window.max_in_flight;
+    CU_ASSERT_FALSE(owner_order_window_allows(&order_window, false));
+    CU_ASSERT_TRUE(
+        owner_order_window_allows(&order_window, true)); /* urgent work */
+    order_window.in_flight = 2 * order_window.max_in_flight;
+    CU_ASSERT_FALSE(owner_order_window_allows(&order_window, true));
 }
 
 static void
 test_it_recovers_when_answers_come_soon_again(void)
 {
-    struct owner_pace pace = {0};
+    struct owner_order_window order_window = {0};
     unsigned least;
 
     cw_log_setup("error", "test");
-    owner_pace_reset(&pace);
-    answer_all(&pace, 400);
+    owner_order_window_reset(&order_window);
+    answer_all(&order_window, 400);
     for (unsigned i = 0; i < TENTHS; i++) {
-        owner_pace_adjust(&pace);
+        owner_order_window_adjust(&order_window);
     }
-    least = pace.most;
-    answer_all(&pace, 5);
+    least = order_window.max_in_flight;
+    answer_all(&order_window, 5);
     for (unsigned i = 0; i < TENTHS; i++) {
-        owner_pace_adjust(&pace);
+        owner_order_window_adjust(&order_window);
     }
-    CU_ASSERT_TRUE(pace.most > 8 * least);
+    CU_ASSERT_TRUE(order_window.max_in_flight > 8 * least);
 }
 
 /* Nothing is placed while too much is under way; then it is. */
@@ -85,10 +86,11 @@
 
     site_begin(&site);
     job = add_job(&site, 1, &one);
-    site.owner->pace.under_way = site.owner->pace.most;
+    site.owner->order_window.in_flight =
+        site.owner->order_window.max_in_flight;
     pass(&site, 10);
     CU_ASSERT_EQUAL(placed(job), 0);
-    site.owner->pace.under_way = 0;
+    site.owner->order_window.in_flight = 0;
     pass(&site, 10);
     CU_ASSERT_EQUAL(placed(job), 1);
     site_end(&site);
@@ -104,16 +106,17 @@
 
     site_begin(&site);
     target = owner_target_get(site.owner, "w00");
-    site.owner->proof_at = site.clock.now;
+    site.owner->ownership_confirmed_at = site.clock.now;
     for (unsigned i = 0; i < 3; i++) {
         owner_order_queue(site.owner, target, CW_ORDER_STOP, &task, i + 1);
     }
-    CU_ASSERT_EQUAL(site.owner->pace.under_way, 3);
+    CU_ASSERT_EQUAL(site.owner->order_window.in_flight, 3);
     owner_orders_send(site.owner, target, site.clock.now);
     answer_last(CW_TARGET_OK);
-    CU_ASSERT_EQUAL(site.owner->pace.under_way, 2);
+    CU_ASSERT_EQUAL(site.owner->order_window.in_flight, 2);
     owner_target_lost(site.owner, target, "test");
-    CU_ASSERT_EQUAL(site.owner->pace.under_way, 1); /* one is on its way */
+    CU_ASSERT_EQUAL(site.owner->order_window.in_flight,
+                    1); /* one is on its way */
     site_end(&site);
 }
 
--- a/tests/test_orders.c
+++ b/tests/test_orders.c
@@ -26,13 +26,13 @@
 
     site_begin(&site);
     job = start_job(&site);
-    first = place_of(job, 0);
+    first = worker_of(job, 0);
     answer_last(CW_TARGET_UNREACHABLE);
     CU_ASSERT_EQUAL(placed(job), 0);
     CU_ASSERT_EQUAL(step_of(job)->tasks[0].failures, 0);
     pass(&site, 10);
     CU_ASSERT_EQUAL(placed(job), 1);
-    CU_ASSERT_PTR_NOT_EQUAL(place_of(job, 0), first);
+    CU_ASSERT_PTR_NOT_EQUAL(worker_of(job, 0), first);
     CU_ASSERT_TRUE(step_of(job)->tasks[0].run->number > 1);
     site_end(&site);
 }
@@ -47,14 +47,14 @@
 
     site_begin(&site);
     job = start_job(&site);
-    first = place_of(job, 0);
+    first = worker_of(job, 0);
     answer_last(CW_TARGET_UNKNOWN);
     CU_ASSERT_EQUAL(placed(job), 1);
     pass(&site, 10);
-    CU_ASSERT_PTR_EQUAL(place_of(job, 0), first);
+    CU_ASSERT_PTR_EQUAL(worker_of(job, 0), first);
     /* Sent again, and not even that reached the worker. */
     site.clock.now = cw_time_add_ms(site.clock.now, 100);
-    site.owner->proof_at = site.clock.now;
+    site.owner->ownership_confirmed_at = site.clock.now;
     owner_orders_send(site.owner, step_of(job)->tasks[0].run->target,
                       site.clock.now);
     answer_last(CW_TARGET_UNREACHABLE);
@@ -69,9 +69,9 @@
     unsigned sent = 0;
 
     for (unsigned passed = 0; passed < ms; passed++) {
-        last_order.kind = CW_ORDER_HOLD;
+        last_order.kind = CW_ORDER_POLL;
         site->clock.now = cw_time_add_ms(site->clock.now, 1);
-        site->owner->proof_at = site->clock.now;
+        site->owner->ownership_confirmed_at = site->clock.now;
         (void)owner_orders_send(site->owner, target, site->clock.now);
         if (last_order.kind == CW_ORDER_STOP) {
             sent++;
@@ -138,19 +138,19 @@
         pass(&site, 10);
     }
     target = step_of(jobs[0])->tasks[0].run->target;
-    CU_ASSERT_PTR_EQUAL_FATAL(place_of(jobs[1], 0), target);
+    CU_ASSERT_PTR_EQUAL_FATAL(worker_of(jobs[1], 0), target);
     for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
         struct owner_run *run = step_of(jobs[i])->tasks[0].run;
         struct cw_task_name name = owner_task_name(run->task);
 
         run->phase = RUN_READY;
-        site.owner->proof_at = site.clock.now;
+        site.owner->ownership_confirmed_at = site.clock.now;
         owner_order_queue(site.owner, target, CW_ORDER_START, &name,
                           run->number);
         if (i == 0) {
             owner_orders_send(site.owner, target, site.clock.now);
             answer_last(CW_TARGET_UNKNOWN);
-            target->silent = 1; /* the look was lost as well */
+            target->unanswered_polls = 1; /* the look was lost as well */
         }
     }
     owner_orders_send(site.owner, target, site.clock.now);
@@ -194,7 +194,7 @@
 
     site_begin(&site);
     job = start_job(&site);
-    first = place_of(job, 0);
+    first = worker_of(job, 0);
     CU_ASSERT_TRUE(owner_target_usable(first, site.clock.now));
     answer_last(CW_TARGET_UNKNOWN);
     CU_ASSERT_FALSE(owner_target_usable(first, site.clock.now));
@@ -211,13 +211,15 @@
     struct owner_job *job;
     struct owner_target *target;
 
-    for (unsigned connections = 2; connections <= 3; connections++) {
+    for (unsigned connections_max = 2; connections_max <= 3; connections_max++)
+    {
         site_begin(&site);
-        site.owner->options.connections = connections * RACKS * PER_RACK;
+        site.owner->options.connections_max =
+            connections_max * RACKS * PER_RACK;
         job = add_job(&site, 1, &three);
         pass(&site, 10);
         target = step_of(job)->tasks[0].run->target;
-        site.owner->proof_at = site.clock.now;
+        site.owner->ownership_confirmed_at = site.clock.now;
         for (unsigned i = 0; i < 3; i++) {
             struct owner_run *run = step_of(job)->tasks[i].run;
             struct cw_task_name name = owner_task_name(run->task);
@@ -228,7 +230,7 @@
                               run->number);
         }
         owner_orders_send(site.owner, target, site.clock.now);
-        CU_ASSERT_EQUAL(target->orders_in_flight, connections - 1);
+        CU_ASSERT_EQUAL(target->orders_in_flight, connections_max - 1);
         site_end(&site);
     }
 }
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -19,7 +19,8 @@
     job = run_job(&site, 1, &gang);
     CU_ASSERT_EQUAL(placed(job), 4);
     for (unsigned i = 1; i < 4; i++) {
-        CU_ASSERT_STRING_EQUAL(place_of(job, i)->rack, place_of(job, 0)->rack);
+        CU_ASSERT_STRING_EQUAL(worker_of(job, i)->rack,
+                               worker_of(job, 0)->rack);
     }
     /* A task in each other rack leaves no rack whole. */
     step_of(run_job(&site, 1, &one));
@@ -50,8 +51,8 @@
     urgent = add_job(&site, 0, &gang);
     pass(&site, 10);
     CU_ASSERT_EQUAL(placed(urgent), 2);
-    CU_ASSERT_STRING_EQUAL(place_of(urgent, 0)->rack,
-                           place_of(urgent, 1)->rack);
+    CU_ASSERT_STRING_EQUAL(worker_of(urgent, 0)->rack,
+                           worker_of(urgent, 1)->rack);
     for (unsigned i = 0; i < step_of(low)->count; i++) {
         stopping += step_of(low)->tasks[i].run->stopping;
     }
@@ -118,7 +119,7 @@
     pass(&site, 10);
     g_hash_table_iter_init(&iterator, site.owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        hosts += ((struct owner_target *)value)->lower_runs > 0;
+        hosts += ((struct owner_target *)value)->lower_priority_runs > 0;
     }
     CU_ASSERT_TRUE(placed(low) > 0);
     CU_ASSERT_TRUE(hosts < RACKS * PER_RACK - 4);
@@ -150,7 +151,7 @@
     for (unsigned i = 0; i < step_of(before)->count; i++) {
         struct owner_run *run = step_of(before)->tasks[i].run;
 
-        if (run->target->held_for != NULL) {
+        if (run->target->rack_reserved_for != NULL) {
             rack = run->target->rack;
             step_of(before)->tasks[i].done = true;
             step_of(before)->left--;
@@ -179,13 +180,14 @@
     failing[1] = add_job(&site, 1, &none);
     owner_target_get(site.owner, "w00")->draining = true;
     owner_target_get(site.owner, "w01")->listed = false;
-    owner_target_get(site.owner, "w02")->gone = true;
-    owner_target_get(site.owner, "w03")->silent = 1;
+    owner_target_get(site.owner, "w02")->superseded = true;
+    owner_target_get(site.owner, "w03")->unanswered_polls = 1;
     for (unsigned i = 0; i < G_N_ELEMENTS(failing); i++) {
-        owner_target_blame(owner_target_get(site.owner, "w04"),
-                           &step_of(failing[i])->tasks[0], site.clock.now);
+        owner_target_add_failure(owner_target_get(site.owner, "w04"),
+                                 &step_of(failing[i])->tasks[0],
+                                 site.clock.now);
     }
-    owner_target_get(site.owner, "w05")->life.slow_until =
+    owner_target_get(site.owner, "w05")->incarnation.slow_until =
         cw_time_add_ms(site.clock.now, 1000);
     job = add_job(&site, 1, &all);
     pass(&site, 10);
@@ -214,14 +216,16 @@
 
         g_snprintf(name, sizeof(name), "w%02u", i);
         target = owner_target_get(site.owner, name);
-        owner_target_blame(target, &step_of(job)->tasks[0], site.clock.now);
-        owner_target_blame(target, &step_of(job)->tasks[0], site.clock.now);
+        owner_target_add_failure(target, &step_of(job)->tasks[0],
+                                 site.clock.now);
+        owner_target_add_failure(target, &step_of(job)->tasks[0],
+                                 site.clock.now);
     }
     pass(&site, 10);
     CU_ASSERT_EQUAL(placed(job), 12);
     target = owner_target_get(site.owner, "w00");
-    owner_target_praise(target);
-    owner_target_blame(target, &step_of(job)->tasks[0], site.clock.now);
+    owner_target_add_success(target);
+    owner_target_add_failure(target, &step_of(job)->tasks[0], site.clock.now);
     CU_ASSERT_TRUE(owner_target_usable(target, site.clock.now));
     site_end(&site);
 }
@@ -272,7 +276,7 @@
     pass(&site, 10);
     CU_ASSERT_EQUAL(placed(job), 6); /* six odd workers, one task each */
     for (unsigned i = 0; i < 6; i++) {
-        CU_ASSERT_STRING_EQUAL(place_of(job, i)->kind, "odd");
+        CU_ASSERT_STRING_EQUAL(worker_of(job, i)->kind, "odd");
     }
     site_end(&site);
 }
@@ -294,7 +298,8 @@
             struct owner_run *run = step->tasks[i].run;
 
             run->percent = from + turn * (i == 0 ? first : percents);
-            owner_speed_note(site->owner, run, run->percent, site->clock.now);
+            owner_speed_observe(site->owner, run, run->percent,
+                                site->clock.now);
         }
     }
 }
@@ -312,10 +317,10 @@
     job = run_job(&site, 1, &whole_workers);
     step = step_of(job);
     come_on(&site, step, 10, 10);
-    CU_ASSERT_TRUE(owner_target_usable(place_of(job, 0), site.clock.now));
+    CU_ASSERT_TRUE(owner_target_usable(worker_of(job, 0), site.clock.now));
     come_on(&site, step, 10, 1);
-    CU_ASSERT_FALSE(owner_target_usable(place_of(job, 0), site.clock.now));
-    CU_ASSERT_TRUE(owner_target_usable(place_of(job, 1), site.clock.now));
+    CU_ASSERT_FALSE(owner_target_usable(worker_of(job, 0), site.clock.now));
+    CU_ASSERT_TRUE(owner_target_usable(worker_of(job, 1), site.clock.now));
     CU_ASSERT_TRUE(step->tasks[0].run->stopping); /* a restart pays */
     site_end(&site);
 }
@@ -332,7 +337,7 @@
     set_guarantee(&site, 0);
     job = run_job(&site, 1, &whole_workers);
     come_on(&site, step_of(job), 21, 3);
-    CU_ASSERT_TRUE(owner_target_usable(place_of(job, 0), site.clock.now));
+    CU_ASSERT_TRUE(owner_target_usable(worker_of(job, 0), site.clock.now));
     CU_ASSERT_FALSE(step_of(job)->tasks[0].run->stopping);
     site_end(&site);
 }
@@ -353,10 +358,11 @@
         jobs[i] = run_job(&site, 1, &halves);
         come_on(&site, step_of(jobs[i]), 20, 2);
     }
-    CU_ASSERT_PTR_EQUAL(place_of(jobs[0], 0), place_of(jobs[1], 0));
+    CU_ASSERT_PTR_EQUAL(worker_of(jobs[0], 0), worker_of(jobs[1], 0));
     CU_ASSERT_FALSE(step_of(jobs[0])->tasks[0].run->stopping);
     CU_ASSERT_TRUE(step_of(jobs[1])->tasks[0].run->stopping);
-    CU_ASSERT_FALSE(owner_target_usable(place_of(jobs[1], 0), site.clock.now));
+    CU_ASSERT_FALSE(
+        owner_target_usable(worker_of(jobs[1], 0), site.clock.now));
     site_end(&site);
 }
 
@@ -372,8 +378,8 @@
     set_guarantee(&site, 0);
     job = run_job(&site, 1, &whole_workers);
     come_on(&site, step_of(job), 20, 11);
-    CU_ASSERT_TRUE(place_of(job, 0)->life.speed < 0.8);
-    CU_ASSERT_TRUE(owner_target_usable(place_of(job, 0), site.clock.now));
+    CU_ASSERT_TRUE(worker_of(job, 0)->incarnation.speed < 0.8);
+    CU_ASSERT_TRUE(owner_target_usable(worker_of(job, 0), site.clock.now));
     site_end(&site);
 }
 
@@ -395,11 +401,12 @@
         char name[16];
 
         g_snprintf(name, sizeof(name), "w%02u", i);
-        owner_target_get(site.owner, name)->life.speed = 1.6;
+        owner_target_get(site.owner, name)->incarnation.speed = 1.6;
     }
-    CU_ASSERT_STRING_EQUAL(place_of(run_job(&site, 0, &small), 0)->rack, "r2");
-    CU_ASSERT_STRING_EQUAL(place_of(run_job(&site, 0, &gang), 0)->rack, "r2");
-    CU_ASSERT_STRING_NOT_EQUAL(place_of(run_job(&site, 2, &small), 0)->rack,
+    CU_ASSERT_STRING_EQUAL(worker_of(run_job(&site, 0, &small), 0)->rack,
+                           "r2");
+    CU_ASSERT_STRING_EQUAL(worker_of(run_job(&site, 0, &gang), 0)->rack, "r2");
+    CU_ASSERT_STRING_NOT_EQUAL(worker_of(run_job(&site, 2, &small), 0)->rack,
                                "r2");
     site_end(&site);
 }
@@ -415,8 +422,8 @@
     site_begin(&site);
     set_guarantee(&site, 0);
     job = run_job(&site, 1, &gang);
-    owner_task_keep(&step_of(job)->tasks[0], "ck-1");
-    owner_task_keep(&step_of(job)->tasks[0], "");
+    owner_task_save_checkpoint(&step_of(job)->tasks[0], "ck-1");
+    owner_task_save_checkpoint(&step_of(job)->tasks[0], "");
     CU_ASSERT_STRING_EQUAL(step_of(job)->tasks[1].saved, "ck-1");
     owner_run_lost(site.owner, step_of(job)->tasks[0].run, true, "test");
     CU_ASSERT_STRING_EQUAL(step_of(job)->tasks[0].saved, "ck-1");
@@ -468,9 +475,9 @@
     run = send_job_start(&site, job);
     answer_last(CW_TARGET_UNKNOWN);
     site.clock.now = cw_time_add_ms(site.clock.now, 100);
-    site.owner->proof_at = site.clock.now;
+    site.owner->ownership_confirmed_at = site.clock.now;
     owner_orders_send(site.owner, run->target, site.clock.now);
-    answer_last(CW_TARGET_NO_ROOM);
+    answer_last(CW_TARGET_NO_CAPACITY);
     CU_ASSERT_EQUAL(placed(job), 1); /* the first may still be carried out */
     CU_ASSERT_TRUE(step_of(job)->tasks[0].run->stopping);
     site_end(&site);
@@ -480,7 +487,7 @@
     job = add_job(&site, 1, &one);
     pass(&site, 10);
     send_job_start(&site, job);
-    answer_last(CW_TARGET_NO_ROOM);
+    answer_last(CW_TARGET_NO_CAPACITY);
     CU_ASSERT_EQUAL(placed(job), 0); /* nothing can come any more */
     site_end(&site);
 }
@@ -522,7 +529,7 @@
     unsigned stopping = 0;
 
     site_begin(&site);
-    over = add_job_of(&site, "over", 0, &all);
+    over = add_job_for_account(&site, "over", 0, &all);
     pass(&site, 10);
     set_running(&site, over);
     job = add_job(&site, 0, &four);
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -23,15 +23,16 @@
     const struct cw_queue *queue;
 
     CU_ASSERT_PTR_NOT_NULL_FATAL(routing);
-    queue = cw_routing_match(routing, "h.example", "/p/1");
+    queue = cw_routing_find_queue(routing, "h.example", "/p/1");
     CU_ASSERT_PTR_NOT_NULL_FATAL(queue);
     CU_ASSERT_EQUAL(routing->version, 7);
     CU_ASSERT_EQUAL(routing->body_bytes_max, 1000);
     CU_ASSERT_EQUAL(queue->stretch_milli, 1500);
     CU_ASSERT_EQUAL(queue->max_attempts, 4);
-    CU_ASSERT_EQUAL(cw_routing_account(routing, "k")->guaranteed_accelerators,
-                    72);
-    CU_ASSERT_TRUE(cw_routing_service(routing, "s1")->guards_capacity);
+    CU_ASSERT_EQUAL(
+        cw_routing_account_by_key(routing, "k")->guaranteed_accelerators, 72);
+    CU_ASSERT_TRUE(
+        cw_routing_service_by_name(routing, "s1")->enforces_capacity);
     cw_routing_unref(routing);
 }
 
--- a/tests/test_holds.c
+++ b/tests/test_polls.c
@@ -23,7 +23,7 @@
 
     site_begin(site);
     site->owner->options.targets = &targets;
-    site->owner->began = site->clock.now;
+    site->owner->takeover_began_at = site->clock.now;
     orders = g_array_new(FALSE, FALSE, sizeof(struct cw_target_order));
 }
 
@@ -55,10 +55,10 @@
     gpointer value;
 
     site->clock.now = cw_time_add_ms(site->clock.now, ms);
-    site->owner->proof_at = site->clock.now;
+    site->owner->ownership_confirmed_at = site->clock.now;
     g_hash_table_iter_init(&iterator, site->owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        owner_hold_tick(site->owner, value, site->clock.now);
+        owner_poll_tick(site->owner, value, site->clock.now);
     }
 }
 
@@ -71,7 +71,7 @@
 
     g_hash_table_iter_init(&iterator, site->owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        ((struct owner_target *)value)->hold_sent = site->clock.now;
+        ((struct owner_target *)value)->poll_sent_at = site->clock.now;
     }
 }
 
@@ -107,7 +107,7 @@
     for (unsigned i = RACKS * PER_RACK; i < MANY; i++) {
         add_worker(&many, i);
     }
-    many.owner->began = many.clock.now;
+    many.owner->takeover_began_at = many.clock.now;
     set_looked_at(&many);
     tick_all(&many, 3000);
     CU_ASSERT_EQUAL(orders->len, 0);
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -6,17 +6,17 @@
 
 #include "curlewcart/cw_log.h"
 #include "curlewcart/cw_relay.h"
-#include "store_port.h"
+#include "fake_store.h"
 
 enum { TURNS_MOST = 400, TURN_MS = 10 };
 
 /* Two VMs with one store between them. */
 struct pair {
-    pthread_mutex_t engine;
+    pthread_mutex_t engine_lock;
     struct cw_clock_manual clock;
     struct cw_counters counters;
     struct store_model *model;
-    struct store_port ports[2];
+    struct fake_store ports[2];
     struct cw_relay *relays[2];
     char *members[2];
 };
@@ -32,13 +32,13 @@
     }
     pair->clock.now = cw_time_add_ms(pair->clock.now, TURN_MS);
     for (int i = 0; i < 2; i++) {
-        pthread_mutex_lock(&pair->engine);
+        pthread_mutex_lock(&pair->engine_lock);
         cw_relay_tick(pair->relays[i], pair->clock.now);
-        pthread_mutex_unlock(&pair->engine);
+        pthread_mutex_unlock(&pair->engine_lock);
     }
     if (poll(wait, 2, 1) > 0) {
         for (int i = 0; i < 2; i++) {
-            cw_relay_readable(pair->relays[i]);
+            cw_relay_receive(pair->relays[i]);
         }
     }
 }
@@ -47,7 +47,7 @@
 pair_begin(struct pair *pair)
 {
     memset(pair, 0, sizeof(*pair));
-    pthread_mutex_init(&pair->engine, NULL);
+    pthread_mutex_init(&pair->engine_lock, NULL);
     cw_clock_manual_init(&pair->clock);
     pair->clock.now = cw_time_from_ms(10000);
     pair->model = store_model_create(1);
@@ -56,17 +56,17 @@
             .direct = &pair->ports[i].base,
             .clock = &pair->clock.base,
             .counters = &pair->counters,
-            .engine = &pair->engine,
+            .engine_lock = &pair->engine_lock,
             .address = "127.0.0.1:0",
             .group = "g",
         };
 
-        pair->ports[i].base.ops = &store_port_ops;
+        pair->ports[i].base.ops = &fake_store_ops;
         pair->ports[i].model = pair->model;
         pair->relays[i] = cw_relay_create(&options);
         CU_ASSERT_PTR_NOT_NULL_FATAL(pair->relays[i]);
         pair->members[i] =
-            cw_relay_member("vm", cw_relay_address(pair->relays[i]), 1);
+            cw_relay_member_name("vm", cw_relay_address(pair->relays[i]), 1);
     }
     pair->ports[0].member = pair->members[1];
     pair->ports[1].member = pair->members[0];
@@ -84,11 +84,11 @@
         g_free(pair->members[i]);
     }
     store_model_free(pair->model);
-    pthread_mutex_destroy(&pair->engine);
+    pthread_mutex_destroy(&pair->engine_lock);
 }
 
 static void
-take_status(void *context, const struct cw_store_appended *result)
+take_status(void *context, const struct cw_store_append_result *result)
 {
     *(int *)context = (int)result->status;
 }
@@ -121,14 +121,14 @@
 
     pair_begin(&pair);
     CU_ASSERT_EQUAL(append(&pair), CW_STORE_OK);
-    pair.ports[0].refuses = CW_STORE_REFUSED;
+    pair.ports[0].answer_status = CW_STORE_REFUSED;
     CU_ASSERT_EQUAL(append(&pair), CW_STORE_REFUSED); /* once is chance */
     CU_ASSERT_EQUAL(append(&pair), CW_STORE_OK);
-    pair.ports[0].refuses = CW_STORE_UNKNOWN;
+    pair.ports[0].answer_status = CW_STORE_UNKNOWN;
     CU_ASSERT_EQUAL(append(&pair), CW_STORE_OK);
     CU_ASSERT_EQUAL(store_model_end(pair.model, "t"), 3);
     CU_ASSERT_EQUAL(pair.counters.named[CW_COUNT_RELAYED], 2);
-    CU_ASSERT_FALSE(cw_relay_isolated(pair.relays[0]));
+    CU_ASSERT_FALSE(cw_relay_is_isolated(pair.relays[0]));
     pair_end(&pair);
 }
 
@@ -138,15 +138,15 @@
     struct pair pair;
 
     pair_begin(&pair);
-    pair.ports[0].refuses = CW_STORE_REFUSED;
-    pair.ports[1].refuses = CW_STORE_REFUSED;
+    pair.ports[0].answer_status = CW_STORE_REFUSED;
+    pair.ports[1].answer_status = CW_STORE_REFUSED;
     CU_ASSERT_EQUAL(append(&pair), CW_STORE_REFUSED);
-    pair.ports[0].refuses = CW_STORE_UNKNOWN;
+    pair.ports[0].answer_status = CW_STORE_UNKNOWN;
     CU_ASSERT_EQUAL(append(&pair), CW_STORE_UNKNOWN);
     for (int i = 0; i < TURNS_MOST / 2; i++) {
         turn(&pair);
     }
-    CU_ASSERT_FALSE(cw_relay_isolated(pair.relays[0]));
+    CU_ASSERT_FALSE(cw_relay_is_isolated(pair.relays[0]));
     pair_end(&pair);
 }
 
@@ -156,7 +156,7 @@
     struct pair pair;
 
     pair_begin(&pair);
-    pair.ports[0].refuses = CW_STORE_UNKNOWN;
+    pair.ports[0].answer_status = CW_STORE_UNKNOWN;
     /* The other VM is gone; its port answers nothing. */
     cw_relay_free(pair.relays[1]);
     pair.relays[1] = pair.relays[0];
@@ -164,12 +164,12 @@
     for (int i = 0; i < TURNS_MOST / 2; i++) {
         turn(&pair);
     }
-    CU_ASSERT_TRUE(cw_relay_isolated(pair.relays[0]));
-    pair.ports[0].refuses = CW_STORE_OK;
+    CU_ASSERT_TRUE(cw_relay_is_isolated(pair.relays[0]));
+    pair.ports[0].answer_status = CW_STORE_OK;
     for (int i = 0; i < TURNS_MOST / 2; i++) {
         turn(&pair);
     }
-    CU_ASSERT_FALSE(cw_relay_isolated(pair.relays[0]));
+    CU_ASSERT_FALSE(cw_relay_is_isolated(pair.relays[0]));
     pair.relays[1] = NULL;
     pair_end(&pair);
 }
@@ -208,7 +208,7 @@
     pair_begin(&pair);
     CU_ASSERT_EQUAL(read_some(&pair, 128), CW_STORE_OK);
     CU_ASSERT_EQUAL(pair.ports[0].most_kb, 128);
-    pair.ports[0].refuses = CW_STORE_REFUSED;
+    pair.ports[0].answer_status = CW_STORE_REFUSED;
     (void)read_some(&pair, 128);
     CU_ASSERT_EQUAL(read_some(&pair, 128), CW_STORE_OK);
     /* The answer's way back is a datagram of 60,000 bytes at the most. */
@@ -240,7 +240,7 @@
 }
 
 static void
-ignore_join(void *context, const struct cw_store_joined *result)
+ignore_join(void *context, const struct cw_store_join_result *result)
 {
     (void)context;
     (void)result;
@@ -277,14 +277,14 @@
     struct pair pair;
 
     pair_begin(&pair);
-    pair.ports[0].silent = true;
+    pair.ports[0].withhold_answers = true;
     read_and_join(&pair, &heard);
     for (int i = 0; i < AIM_MS / TURN_MS; i++) {
         turn(&pair);
     }
     CU_ASSERT_EQUAL(heard.times, 1);
     CU_ASSERT_EQUAL(heard.status, CW_STORE_OK);
-    store_port_time_out(&pair.ports[0]); /* answers nobody any more */
+    fake_store_time_out(&pair.ports[0]); /* answers nobody any more */
     settle(&pair);
     CU_ASSERT_EQUAL(heard.times, 1);
     pair_end(&pair);
@@ -300,13 +300,13 @@
     unsigned reads;
 
     pair_begin(&pair);
-    pair.ports[0].silent = true;
+    pair.ports[0].withhold_answers = true;
     read_and_join(&pair, &heard);
     for (int i = 0; i < TURNS_MOST / 2; i++) {
         turn(&pair);
     }
-    pair.ports[0].silent = false;
-    store_port_time_out(&pair.ports[0]);
+    pair.ports[0].withhold_answers = false;
+    fake_store_time_out(&pair.ports[0]);
     settle(&pair);
     reads = pair.ports[0].reads;
     CU_ASSERT_EQUAL(read_some(&pair, 128), CW_STORE_OK);
@@ -323,16 +323,16 @@
     struct pair pair;
 
     pair_begin(&pair);
-    pair.ports[0].silent = true;
-    pair.ports[1].silent = true;
+    pair.ports[0].withhold_answers = true;
+    pair.ports[1].withhold_answers = true;
     read_and_join(&pair, &heard);
     settle(&pair);
     CU_ASSERT_EQUAL(heard.times, 1);
     CU_ASSERT_EQUAL(heard.status, CW_STORE_UNKNOWN);
-    store_port_time_out(&pair.ports[0]);
-    store_port_time_out(&pair.ports[1]);
+    fake_store_time_out(&pair.ports[0]);
+    fake_store_time_out(&pair.ports[1]);
     settle(&pair);
-    store_port_time_out(&pair.ports[1]);
+    fake_store_time_out(&pair.ports[1]);
     settle(&pair);
     CU_ASSERT_EQUAL(heard.times, 1);
     pair_end(&pair);
--- a/tests/test_replica.c
+++ b/tests/test_replica.c
@@ -73,7 +73,7 @@
 static unsigned
 phase_of(struct cw_replica *replica)
 {
-    return cw_replica_phase(cw_replica_find(replica, ID));
+    return cw_replica_phase(cw_replica_find_job(replica, ID));
 }
 
 static void
@@ -83,14 +83,14 @@
 
     apply_spec(replica, 1, 11);
     apply_spec(replica, 2, 22);
-    CU_ASSERT_EQUAL(cw_replica_find(replica, ID)->spec->body_hash, 11);
+    CU_ASSERT_EQUAL(cw_replica_find_job(replica, ID)->spec->body_hash, 11);
     CU_ASSERT_EQUAL(phase_of(replica), CW_WORK_WAITING);
-    CU_ASSERT_EQUAL(cw_replica_waiting(replica, "q", NULL), 1);
-    CU_ASSERT_EQUAL(cw_replica_waiting(replica, NULL, "a"), 1);
-    CU_ASSERT_EQUAL(cw_replica_waiting(replica, NULL, "b"), 0);
+    CU_ASSERT_EQUAL(cw_replica_count_waiting(replica, "q", NULL), 1);
+    CU_ASSERT_EQUAL(cw_replica_count_waiting(replica, NULL, "a"), 1);
+    CU_ASSERT_EQUAL(cw_replica_count_waiting(replica, NULL, "b"), 0);
     apply_record(replica, CW_WORK_RUNNING, true, 3);
-    CU_ASSERT_EQUAL(cw_replica_waiting(replica, "q", NULL), 0);
-    CU_ASSERT_EQUAL(cw_replica_waiting(replica, "other", NULL), 0);
+    CU_ASSERT_EQUAL(cw_replica_count_waiting(replica, "q", NULL), 0);
+    CU_ASSERT_EQUAL(cw_replica_count_waiting(replica, "other", NULL), 0);
     cw_replica_free(replica);
 }
 
@@ -125,7 +125,7 @@
     CU_ASSERT_EQUAL(phase_of(replica), CW_WORK_COMPLETED);
     apply_cancel(replica, 2); /* as a VM that loads the newest may read it */
     CU_ASSERT_EQUAL(phase_of(replica), CW_WORK_CANCELLED);
-    CU_ASSERT_EQUAL(cw_replica_find(replica, ID)->cancel_keys->len, 2);
+    CU_ASSERT_EQUAL(cw_replica_find_job(replica, ID)->cancel_keys->len, 2);
     cw_replica_free(replica);
 }
 
@@ -138,7 +138,7 @@
     apply_record(replica, CW_WORK_COMPLETED, true, 9);
     apply_record(replica, CW_WORK_RUNNING, true, 5);
     CU_ASSERT_EQUAL(phase_of(replica), CW_WORK_COMPLETED);
-    CU_ASSERT_EQUAL(cw_replica_find(replica, ID)->ended_ms, 5);
+    CU_ASSERT_EQUAL(cw_replica_find_job(replica, ID)->ended_ms, 5);
     cw_replica_free(replica);
 }
 
@@ -150,9 +150,9 @@
     apply_spec(replica, 1, 1);
     apply_record(replica, CW_WORK_COMPLETED, true, 2);
     apply(replica, "s" ID, NULL, 3);
-    CU_ASSERT_PTR_NOT_NULL(cw_replica_find(replica, ID));
+    CU_ASSERT_PTR_NOT_NULL(cw_replica_find_job(replica, ID));
     apply(replica, "r" ID, NULL, 4);
-    CU_ASSERT_PTR_NULL(cw_replica_find(replica, ID));
+    CU_ASSERT_PTR_NULL(cw_replica_find_job(replica, ID));
     cw_replica_free(replica);
 }
 
@@ -168,8 +168,8 @@
     apply(replica, "r" ID, bytes, 2);
     apply(replica, "?" ID, bytes, 3);
     apply(replica, "", bytes, 4);
-    CU_ASSERT_PTR_NULL(cw_replica_find(replica, ID)->spec);
-    CU_ASSERT_PTR_NULL(cw_replica_find(replica, ID)->record);
+    CU_ASSERT_PTR_NULL(cw_replica_find_job(replica, ID)->spec);
+    CU_ASSERT_PTR_NULL(cw_replica_find_job(replica, ID)->record);
     g_byte_array_unref(bytes);
     cw_replica_free(replica);
 }
--- a/tests/test_reports.c
+++ b/tests/test_reports.c
@@ -10,7 +10,7 @@
     struct cw_store_record record = {
         .key = id, .value = text, .length = strlen(text), .offset = 1};
 
-    owner_target_record(site->owner, &record);
+    owner_target_apply_record(site->owner, &record);
 }
 
 static void
@@ -50,7 +50,7 @@
 
     begin(&site);
     job = run_job(&site, 1, &one);
-    target = place_of(job, 0);
+    target = worker_of(job, 0);
     put(&site, target->id, "{\"service\":7}");
     CU_ASSERT_FALSE(owner_target_usable(target, site.clock.now));
     CU_ASSERT_EQUAL(placed(job), 1);
@@ -67,21 +67,21 @@
 
     begin(&site);
     cw_routing_add_service(routing)->name = g_strdup("s");
-    cw_routing_seal(routing);
+    cw_routing_finish(routing);
     cw_owner_configure(site.owner, routing);
-    site.owner->proof_at = site.clock.now;
+    site.owner->ownership_confirmed_at = site.clock.now;
     put(&site, "x1",
         "{\"service\":\"other\",\"address\":\"10.0.0.9:80\","
         "\"zone\":\"z\",\"state\":\"ready\",\"capacity\":{}}");
     target = owner_target_get(site.owner, "x1");
-    owner_hold_tick(site.owner, target, site.clock.now);
-    CU_ASSERT_FALSE(target->hold_in_flight);
+    owner_poll_tick(site.owner, target, site.clock.now);
+    CU_ASSERT_FALSE(target->poll_in_flight);
     put(&site, "x2",
         "{\"service\":\"s\",\"address\":\"10.0.0.9:80\","
         "\"zone\":\"z\",\"state\":\"ready\",\"capacity\":{}}");
     target = owner_target_get(site.owner, "x2");
-    owner_hold_tick(site.owner, target, site.clock.now);
-    CU_ASSERT_TRUE(target->hold_in_flight);
+    owner_poll_tick(site.owner, target, site.clock.now);
+    CU_ASSERT_TRUE(target->poll_in_flight);
     cw_routing_unref(routing);
     site_end(&site);
 }
--- a/tests/test_residency.c
+++ b/tests/test_residency.c
@@ -7,7 +7,7 @@
 site_begin_apart(struct site *site)
 {
     site_begin(site);
-    site_spread_dcs(site);
+    site_put_racks_in_dcs(site);
 }
 
 /* The account may be in `dc` only; NULL: the account is gone. */
@@ -16,7 +16,7 @@
 {
     struct cw_routing *routing = cw_routing_new();
 
-    routing->confined = true;
+    routing->enforces_residency = true;
     if (dc != NULL) {
         struct cw_account *account = cw_routing_add_account(routing);
 
@@ -24,7 +24,7 @@
         account->guaranteed_accelerators = 64;
         g_ptr_array_add(account->dcs, g_strdup(dc));
     }
-    cw_routing_seal(routing);
+    cw_routing_finish(routing);
     cw_owner_configure(site->owner, routing);
     cw_routing_unref(routing);
 }
@@ -44,7 +44,7 @@
     pass(&site, 10);
     CU_ASSERT_EQUAL(placed(job), PER_RACK);
     for (unsigned i = 0; i < PER_RACK; i++) {
-        CU_ASSERT_STRING_EQUAL(place_of(job, i)->dc, "d1");
+        CU_ASSERT_STRING_EQUAL(worker_of(job, i)->dc, "d1");
     }
     site_end(&site);
 }
--- a/tests/test_restarts.c
+++ b/tests/test_restarts.c
@@ -31,31 +31,31 @@
 tick(struct site *site, struct owner_target *target, unsigned ms)
 {
     site->clock.now = cw_time_add_ms(site->clock.now, ms);
-    site->owner->proof_at = site->clock.now;
+    site->owner->ownership_confirmed_at = site->clock.now;
     owner_orders_send(site->owner, target, site->clock.now);
-    owner_hold_tick(site->owner, target, site->clock.now);
+    owner_poll_tick(site->owner, target, site->clock.now);
 }
 
 /* Waits until the owner looks at the worker. */
 static void
 await_look(struct site *site, struct owner_target *target)
 {
-    for (unsigned i = 0; i < 500 && !target->hold_in_flight; i++) {
+    for (unsigned i = 0; i < 500 && !target->poll_in_flight; i++) {
         tick(site, target, 10);
     }
-    CU_ASSERT_TRUE_FATAL(target->hold_in_flight);
-    CU_ASSERT_EQUAL_FATAL(last_order.kind, CW_ORDER_HOLD);
+    CU_ASSERT_TRUE_FATAL(target->poll_in_flight);
+    CU_ASSERT_EQUAL_FATAL(last_order.kind, CW_ORDER_POLL);
 }
 
 /* Answers the last order, a look; NULL: nothing of the kind is listed. */
 static void
-answer_look(int64_t born_ms, const struct cw_running *running,
+answer_look(int64_t boot_ms, const struct cw_running *running,
             const struct cw_ended *ended)
 {
     const struct cw_target_answer answer = {
         .status = CW_TARGET_OK,
         .clock_ms = 1,
-        .born_ms = born_ms,
+        .boot_ms = boot_ms,
         .running = running,
         .running_count = running != NULL,
         .ended = ended,
@@ -70,9 +70,9 @@
 static void
 store_ends(struct owner_target *target)
 {
-    target->life.ends_in_batch = target->life.ends_applied;
-    target->life.ends_durable = target->life.ends_applied;
-    target->hold_due = cw_time_from_ms(0);
+    target->incarnation.ends_in_batch = target->incarnation.ends_applied;
+    target->incarnation.ends_durable = target->incarnation.ends_applied;
+    target->poll_due = cw_time_from_ms(0);
 }
 
 /* Places a job and starts it.  Returns its worker. */
@@ -83,7 +83,7 @@
         pass(site, 10);
     }
     confirm_starts(site, job);
-    return (struct owner_target *)place_of(job, 0);
+    return (struct owner_target *)worker_of(job, 0);
 }
 
 static struct cw_ended
@@ -102,17 +102,17 @@
  * stored. */
 static void
 work_and_confirm(struct site *site, struct owner_target *target,
-                 struct owner_job *job, int64_t born_ms, uint64_t number)
+                 struct owner_job *job, int64_t boot_ms, uint64_t number)
 {
     struct cw_ended ended = end_of(job, number);
 
     await_look(site, target);
-    answer_look(born_ms, NULL, &ended);
+    answer_look(boot_ms, NULL, &ended);
     CU_ASSERT_EQUAL(job->phase, CW_WORK_COMPLETED);
     store_ends(target);
     await_look(site, target);
     CU_ASSERT_EQUAL(last_order.acked, number);
-    answer_look(born_ms, NULL, NULL);
+    answer_look(boot_ms, NULL, NULL);
 }
 
 /* The incident's way: its looks are not answered for a while. */
@@ -169,12 +169,12 @@
 /* Looks at the worker until it answers as a life that holds nothing. */
 static void
 crash_and_answer(struct site *site, struct owner_target *target,
-                 int64_t born_ms)
+                 int64_t boot_ms)
 {
     await_look(site, target);
     answer_last(CW_TARGET_UNKNOWN);
     await_look(site, target);
-    answer_look(born_ms, NULL, NULL);
+    answer_look(boot_ms, NULL, NULL);
 }
 
 /* Each worker is looked at once: its first life is known. */
@@ -301,7 +301,7 @@
 
     await_look(&site, target);
     lose_answers();
-    CU_ASSERT_TRUE(target->silent > 0);
+    CU_ASSERT_TRUE(target->unanswered_polls > 0);
     tick(&site, target, 100); /* the pause between two tries is over */
     CU_ASSERT_EQUAL(target->orders_in_flight, 0);
     await_look(&site, target);
@@ -324,7 +324,7 @@
 
     owner_run_create(site.owner, task, target, RUN_READY, 1);
     owner_order_queue(site.owner, target, CW_ORDER_START, &name, 1);
-    target->silent = 1;
+    target->unanswered_polls = 1;
     tick(&site, target, 1);
     CU_ASSERT_PTR_NULL(task->run);
     site_end(&site);
@@ -442,7 +442,7 @@
     await_look(&site, target);
     answer_last(CW_TARGET_UNKNOWN);
     CU_ASSERT_EQUAL(placed(job), 1);
-    owner_life_reported(target, FIRST_BORN_MS + 1);
+    owner_incarnation_reported(target, FIRST_BORN_MS + 1);
     CU_ASSERT_EQUAL(placed(job), 0);
     CU_ASSERT_TRUE(step_of(job)->tasks[0].suspicion > 0);
     site_end(&site);
@@ -476,14 +476,14 @@
 }
 
 static void
-look_at_first(struct site *site, int64_t born_ms)
+look_at_first(struct site *site, int64_t boot_ms)
 {
     struct owner_target *target = owner_target_get(site->owner, "w00");
 
     target->answered = false;
     target->lease_end = cw_time_add_ms(site->clock.now, 10000);
     await_look(site, target);
-    answer_look(born_ms, NULL, NULL);
+    answer_look(boot_ms, NULL, NULL);
 }
 
 static void
--- a/tests/test_routing.c
+++ b/tests/test_routing.c
@@ -27,7 +27,7 @@
     add_queue(routing, "short", "a.example", "/jobs/");
     add_queue(routing, "long", "a.example", "/jobs/urgent/");
     add_queue(routing, "other", "b.example", "/jobs/");
-    cw_routing_seal(routing);
+    cw_routing_finish(routing);
     return routing;
 }
 
@@ -43,16 +43,18 @@
     struct cw_routing *routing = example();
 
     CU_ASSERT_STRING_EQUAL(
-        name_of(cw_routing_match(routing, "a.example", "/jobs/x")), "short");
+        name_of(cw_routing_find_queue(routing, "a.example", "/jobs/x")),
+        "short");
     CU_ASSERT_STRING_EQUAL(
-        name_of(cw_routing_match(routing, "a.example", "/jobs/urgent/x")),
+        name_of(cw_routing_find_queue(routing, "a.example", "/jobs/urgent/x")),
         "long");
-    CU_ASSERT_STRING_EQUAL(
-        name_of(cw_routing_match(routing, "b.example:8080", "/jobs/urgent/")),
-        "other");
-    CU_ASSERT_PTR_NULL(cw_routing_match(routing, "a.example", "/job"));
-    CU_ASSERT_PTR_NULL(cw_routing_match(routing, "a.example.org", "/jobs/x"));
-    CU_ASSERT_PTR_NULL(cw_routing_match(routing, "", "/jobs/x"));
+    CU_ASSERT_STRING_EQUAL(name_of(cw_routing_find_queue(
+                               routing, "b.example:8080", "/jobs/urgent/")),
+                           "other");
+    CU_ASSERT_PTR_NULL(cw_routing_find_queue(routing, "a.example", "/job"));
+    CU_ASSERT_PTR_NULL(
+        cw_routing_find_queue(routing, "a.example.org", "/jobs/x"));
+    CU_ASSERT_PTR_NULL(cw_routing_find_queue(routing, "", "/jobs/x"));
     cw_routing_unref(routing);
 }
 
@@ -60,11 +62,12 @@
 test_every_key_of_an_account_names_it(void)
 {
     struct cw_routing *routing = example();
-    const struct cw_account *account = cw_routing_account(routing, "k2");
+    const struct cw_account *account =
+        cw_routing_account_by_key(routing, "k2");
 
-    CU_ASSERT_PTR_EQUAL(account, cw_routing_account(routing, "k1"));
-    CU_ASSERT_PTR_EQUAL(account, cw_routing_account_named(routing, "desk"));
-    CU_ASSERT_PTR_NULL(cw_routing_account(routing, "k3"));
+    CU_ASSERT_PTR_EQUAL(account, cw_routing_account_by_key(routing, "k1"));
+    CU_ASSERT_PTR_EQUAL(account, cw_routing_account_by_name(routing, "desk"));
+    CU_ASSERT_PTR_NULL(cw_routing_account_by_key(routing, "k3"));
     cw_routing_unref(routing);
 }
 
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -77,9 +77,9 @@
     CU_ASSERT_PTR_NOT_NULL_FATAL(settings);
     CU_ASSERT_EQUAL(settings->bounds.cordon_ms, 5000);
     CU_ASSERT_EQUAL_FATAL(settings->contracts_count, 2);
-    CU_ASSERT_TRUE(platform_serves_contract(settings->contracts[0]));
-    CU_ASSERT_FALSE(platform_serves_contract(settings->contracts[1]));
-    CU_ASSERT_FALSE(platform_serves_contract("no such contract"));
+    CU_ASSERT_TRUE(platform_supports_contract(settings->contracts[0]));
+    CU_ASSERT_FALSE(platform_supports_contract(settings->contracts[1]));
+    CU_ASSERT_FALSE(platform_supports_contract("no such contract"));
     cw_settings_free(settings);
     g_free(text);
     text = changed("log_level", "contracts: []\nlog_level");
--- a/tests/test_short_leases.c
+++ b/tests/test_short_leases.c
@@ -2,7 +2,7 @@
  * covers what the worker may hold. */
 #include "test_main.h"
 
-#include "owner_bed.h"
+#include "owner_fixture.h"
 
 #define OTHER_ID "5c0e7a21d94b36f9"
 
@@ -39,11 +39,11 @@
 
         g_snprintf(id, sizeof(id), "w%02u", i);
         target = owner_target_get(site.owner, id);
-        owner_target_clock(target, clock_ms, site.clock.now);
+        owner_target_set_clock(target, clock_ms, site.clock.now);
     }
     site.clock.now = cw_time_add_ms(site.clock.now, IDLE_MS);
     clock_ms += IDLE_MS * (100 - DRIFT_PERCENT) / 100;
-    site.owner->proof_at = site.clock.now;
+    site.owner->ownership_confirmed_at = site.clock.now;
     job = add_job(&site, 1, &one);
     pass(&site, 10);
     run = step_of(job)->tasks[0].run;
@@ -54,15 +54,15 @@
                       run->number);
     owner_orders_send(site.owner, run->target, site.clock.now);
     CU_ASSERT_EQUAL(run->phase, RUN_READY);
-    (void)owner_hold_tick(site.owner, run->target, site.clock.now);
-    CU_ASSERT_EQUAL_FATAL(last_order.kind, CW_ORDER_HOLD);
+    (void)owner_poll_tick(site.owner, run->target, site.clock.now);
+    CU_ASSERT_EQUAL_FATAL(last_order.kind, CW_ORDER_POLL);
     look = last_order;
     g_array_set_size(unanswered, unanswered->len - 1);
     answer.clock_ms = clock_ms;
     look.done(look.context, &answer);
     site.clock.now = cw_time_add_ms(site.clock.now, FRESH_MS);
     clock_ms += FRESH_MS * (100 - DRIFT_PERCENT) / 100;
-    site.owner->proof_at = site.clock.now;
+    site.owner->ownership_confirmed_at = site.clock.now;
     owner_orders_send(site.owner, run->target, site.clock.now);
     CU_ASSERT_EQUAL_FATAL(last_order.kind, CW_ORDER_START);
     clock_ms += late_ms * (100 - DRIFT_PERCENT) / 100;
@@ -96,11 +96,11 @@
 };
 
 static void
-answer_as(struct bed *bed, struct worker *worker)
+answer_as(struct fixture *fixture, struct worker *worker)
 {
     struct cw_running running[TASKS] = {0};
     struct cw_ended ended[TASKS] = {0};
-    struct cw_target_answer answer = {.status = CW_TARGET_OK, .born_ms = 1};
+    struct cw_target_answer answer = {.status = CW_TARGET_OK, .boot_ms = 1};
 
     for (unsigned i = 0; i < TASKS; i++) {
         running[i].task.job = ID;
@@ -113,7 +113,7 @@
         ended[i].how = CW_END_KIND_DONE;
         ended[i].saved = "";
     }
-    answer.clock_ms = cw_time_diff_ms(cw_time_from_ms(0), bed->clock.now);
+    answer.clock_ms = cw_time_diff_ms(cw_time_from_ms(0), fixture->clock.now);
     answer.running = running;
     answer.running_count = worker->runs ? TASKS : 0;
     answer.ended = ended;
@@ -133,12 +133,12 @@
 }
 
 static void
-run_worker(struct bed *bed, struct worker *worker, unsigned ms)
+run_worker(struct fixture *fixture, struct worker *worker, unsigned ms)
 {
     for (unsigned passed = 0; passed < ms && !worker->started;
          passed += STEP_MS) {
-        run(bed, STEP_MS);
-        answer_as(bed, worker);
+        run(fixture, STEP_MS);
+        answer_as(fixture, worker);
     }
 }
 
@@ -152,32 +152,32 @@
                                               .accelerators = 1,
                                               .max_attempts = 2,
                                               .stretch_milli = 2000};
-    struct bed bed;
+    struct fixture fixture;
     struct worker worker = {.runs = true};
     GByteArray *bytes = work_spec_encode(&options);
     int64_t counted_ms;
 
-    bed_begin(&bed);
-    put_spec(&bed);
-    put_state(&bed, CW_STATE_TOPIC, CW_WORK_RUNNING);
-    take_over(&bed);
-    list_worker(&bed);
-    run_worker(&bed, &worker, 1000);
+    fixture_begin(&fixture);
+    put_spec(&fixture);
+    put_state(&fixture, CW_STATE_TOPIC, CW_WORK_RUNNING);
+    take_over(&fixture);
+    make_worker_reachable(&fixture);
+    run_worker(&fixture, &worker, 1000);
     worker.runs = false; /* all tasks have ended */
-    run_worker(&bed, &worker, 300);
-    replace_owner(&bed, "other");
-    CU_ASSERT_PTR_NULL(the_worker(&bed)); /* no runs are known there */
+    run_worker(&fixture, &worker, 300);
+    replace_owner(&fixture, "other");
+    CU_ASSERT_PTR_NULL(the_worker(&fixture)); /* no runs are known there */
     worker.idle = true;
-    put(&bed, CW_WORK_TOPIC, "s" OTHER_ID, bytes);
-    (void)owner_target_get(bed.owner, "w");
-    list_worker(&bed);
-    run_worker(&bed, &worker, 3000);
+    put(&fixture, CW_JOBS_TOPIC, "s" OTHER_ID, bytes);
+    (void)owner_target_get(fixture.owner, "w");
+    make_worker_reachable(&fixture);
+    run_worker(&fixture, &worker, 3000);
     CU_ASSERT_TRUE_FATAL(worker.started);
     counted_ms =
-        cw_time_diff_ms(cw_time_from_ms(0), the_worker(&bed)->lease_end);
+        cw_time_diff_ms(cw_time_from_ms(0), the_worker(&fixture)->lease_end);
     CU_ASSERT_TRUE(counted_ms >= worker.lease_ms);
     g_byte_array_unref(bytes);
-    bed_end(&bed);
+    fixture_end(&fixture);
 }
 
 static const struct test tests[] = {
--- a/tests/test_starvation.c
+++ b/tests/test_starvation.c
@@ -13,8 +13,8 @@
     PASS_MOST = 16    /* placed in one pass, whatever waits */
 };
 
-static const struct cw_step_spec most = {.tasks = 9,
-                                         .accelerators = ACCELERATORS};
+static const struct cw_step_spec max_in_flight = {
+    .tasks = 9, .accelerators = ACCELERATORS};
 static const struct cw_step_spec wide = {.tasks = 40, .accelerators = 1};
 static const struct cw_step_spec tiny = {.tasks = 1, .accelerators = 1};
 static const struct cw_step_spec whole = {.tasks = 1,
@@ -60,7 +60,7 @@
 {
     site_begin(site);
     set_guarantee(site, RACKS * PER_RACK * ACCELERATORS);
-    run_job(site, 0, &most);
+    run_job(site, 0, &max_in_flight);
 }
 
 static struct owner_run *
@@ -86,7 +86,7 @@
     pass_for(&site, BORNE_MS);
     CU_ASSERT_EQUAL_FATAL(placed(job), 1);
     first_run(job)->phase = RUN_STARTING;
-    first_run(job)->target->silent = 1;
+    first_run(job)->target->unanswered_polls = 1;
     pass_for(&site, 1000);
     CU_ASSERT_TRUE(placed(job) > 1);
     site_end(&site);
@@ -103,7 +103,7 @@
 
     site_begin_full(&site);
     room = g_hash_table_lookup(site.owner->headroom, "s");
-    room->released = RACKS * PER_RACK * ACCELERATORS;
+    room->headroom_borrowed = RACKS * PER_RACK * ACCELERATORS;
     job = add_job(&site, 2, &tiny);
     pass_for(&site, BORNE_MS);
     CU_ASSERT_EQUAL(placed(job), 1);
@@ -163,7 +163,7 @@
     pass_for(site, BORNE_MS);
     confirm_starts(site, job);
     CU_ASSERT_PTR_NOT_NULL_FATAL(first_run(job));
-    CU_ASSERT_TRUE_FATAL(first_run(job)->released);
+    CU_ASSERT_TRUE_FATAL(first_run(job)->headroom_borrowed);
     return first_run(job);
 }
 
@@ -219,9 +219,9 @@
     struct owner_target *target = data;
 
     if (strcmp(target->rack, "r0") == 0) {
-        target->held_for = site; /* some other step */
-        target->held_priority = 1;
-        target->held_until = cw_time_add_ms(site->clock.now, 400);
+        target->rack_reserved_for = site; /* some other step */
+        target->rack_reserved_priority = 1;
+        target->rack_reserved_until = cw_time_add_ms(site->clock.now, 400);
     }
 }
 
@@ -261,8 +261,8 @@
         pass_for(&site, STEP_MS);
     }
     for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
-        CU_ASSERT_PTR_NOT_NULL_FATAL(place_of(jobs[i], 0));
-        CU_ASSERT_STRING_NOT_EQUAL(place_of(jobs[i], 0)->rack, "r0");
+        CU_ASSERT_PTR_NOT_NULL_FATAL(worker_of(jobs[i], 0));
+        CU_ASSERT_STRING_NOT_EQUAL(worker_of(jobs[i], 0)->rack, "r0");
     }
     site_end(&site);
 }
@@ -272,7 +272,7 @@
 {
     struct owner_target *target = data;
 
-    target->life.suspect_until = cw_time_add_ms(site->clock.now, 7000);
+    target->incarnation.suspect_until = cw_time_add_ms(site->clock.now, 7000);
 }
 
 /* Each task that lasts counts, not only one of its step. */
@@ -322,7 +322,7 @@
 
     site_begin(&site);
     set_guarantee(&site, 0);
-    run_job(&site, 1, &most);
+    run_job(&site, 1, &max_in_flight);
     set_guarantee(&site, RACKS * PER_RACK * ACCELERATORS);
     job = add_job(&site, 0, &whole);
     for (; ms < 20000; ms += STEP_MS) {
@@ -346,8 +346,8 @@
 
     site_begin(&site);
     set_guarantee(&site, 0);
-    site.owner->pace.most = 96;
-    site.owner->pace.under_way = 96;
+    site.owner->order_window.max_in_flight = 96;
+    site.owner->order_window.in_flight = 96;
     for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
         jobs[i] = add_job(&site, 2, &tiny);
     }
@@ -362,7 +362,7 @@
         before = now;
     }
     CU_ASSERT_EQUAL(before, G_N_ELEMENTS(jobs));
-    site.owner->pace.under_way = 0;
+    site.owner->order_window.in_flight = 0;
     site_end(&site);
 }
 
--- a/tests/test_store_model.c
+++ b/tests/test_store_model.c
@@ -4,7 +4,7 @@
 #include "curlewcart/cw_time.h"
 #include "emulator/store_model.h"
 
-static struct cw_store_appended
+static struct cw_store_append_result
 append(struct store_model *model, const char *key, const char *writer,
        uint64_t epoch, uint64_t sequence)
 {
@@ -36,13 +36,13 @@
 test_a_repetition_gets_its_first_answer(void)
 {
     struct store_model *model = store_model_create(1);
-    struct cw_store_appended first = append(model, "a", "w", 1, 1);
-    struct cw_store_appended again = append(model, "a", "w", 1, 1);
-    struct cw_store_appended gap = append(model, "a", "w", 1, 5);
+    struct cw_store_append_result first = append(model, "a", "w", 1, 1);
+    struct cw_store_append_result again = append(model, "a", "w", 1, 1);
+    struct cw_store_append_result gap = append(model, "a", "w", 1, 5);
 
     CU_ASSERT_EQUAL(first.first, again.first);
     CU_ASSERT_EQUAL(store_model_end(model, "t"), 1);
-    CU_ASSERT_EQUAL(gap.status, CW_STORE_SEQUENCE);
+    CU_ASSERT_EQUAL(gap.status, CW_STORE_OUT_OF_SEQUENCE);
     CU_ASSERT_EQUAL(gap.expected_sequence, 2);
     store_model_free(model);
 }
--- a/tests/test_stragglers.c
+++ b/tests/test_stragglers.c
@@ -20,10 +20,11 @@
 };
 
 static bool
-hangs(unsigned percent, int64_t still_ms, double ms_per_percent, bool behind)
+hangs(unsigned percent, int64_t unchanged_ms, double ms_per_percent,
+      bool behind)
 {
     struct cw_progress progress = {.percent = percent,
-                                   .still_ms = still_ms,
+                                   .unchanged_ms = unchanged_ms,
                                    .ms_per_percent = ms_per_percent,
                                    .awaits_gang = behind};
 
@@ -59,27 +60,27 @@
     CU_ASSERT_TRUE(hangs(3, 4 * NOTICED_MS, 6000, false));
 }
 
-static enum cw_pace_verdict
-verdict(double rate, double best, double peers, bool slow_before)
+static enum cw_rate_verdict
+verdict(double rate, double best, double peers, bool slow_in_other_job)
 {
-    struct cw_pace pace = {.rate = rate,
-                           .best = best,
-                           .peers = peers,
-                           .slow_before = slow_before};
+    struct cw_rates pace = {.rate = rate,
+                            .best = best,
+                            .peers = peers,
+                            .slow_in_other_job = slow_in_other_job};
 
-    return cw_pace_judge(&pace);
+    return cw_rates_classify(&pace);
 }
 
 static void
 test_a_slow_run_is_its_workers_fault_if_something_else_shows_it(void)
 {
-    CU_ASSERT_EQUAL(verdict(5, 0, 0, true), CW_PACE_UNKNOWN);
-    CU_ASSERT_EQUAL(verdict(20, 20, 22, true), CW_PACE_NORMAL);
-    CU_ASSERT_EQUAL(verdict(3, 3, 21, false), CW_PACE_LONG_TASK);
-    CU_ASSERT_EQUAL(verdict(3, 3, 21, true), CW_PACE_SLOW_WORKER);
-    CU_ASSERT_EQUAL(verdict(3, 20, 21, false), CW_PACE_SLOW_WORKER);
-    CU_ASSERT_EQUAL(verdict(3, 20, 0, false), CW_PACE_SLOW_WORKER);
-    CU_ASSERT_EQUAL(verdict(0, 3, 21, false), CW_PACE_SLOW_WORKER);
+    CU_ASSERT_EQUAL(verdict(5, 0, 0, true), CW_RATE_UNKNOWN);
+    CU_ASSERT_EQUAL(verdict(20, 20, 22, true), CW_RATE_NORMAL);
+    CU_ASSERT_EQUAL(verdict(3, 3, 21, false), CW_RATE_LONG_TASK);
+    CU_ASSERT_EQUAL(verdict(3, 3, 21, true), CW_RATE_SLOW_WORKER);
+    CU_ASSERT_EQUAL(verdict(3, 20, 21, false), CW_RATE_SLOW_WORKER);
+    CU_ASSERT_EQUAL(verdict(3, 20, 0, false), CW_RATE_SLOW_WORKER);
+    CU_ASSERT_EQUAL(verdict(0, 3, 21, false), CW_RATE_SLOW_WORKER);
 }
 
 static bool
@@ -91,7 +92,7 @@
                                  .rate = rate,
                                  .expected = 20};
 
-    return cw_restart_pays(&restart);
+    return cw_restart_is_worthwhile(&restart);
 }
 
 /* Guards against restarts that throw away more than they save. */
--- a/tests/test_work.c
+++ b/tests/test_work.c
@@ -47,12 +47,12 @@
 
     spec.steps.steps_len = 3;
     spec.steps.steps_val = steps;
-    CU_ASSERT_EQUAL(cw_work_chain_ms(&spec), 100);
+    CU_ASSERT_EQUAL(cw_work_critical_path_ms(&spec), 100);
     steps[1].after.after_len = 1;
     steps[1].after.after_val = first;
     steps[2].after.after_len = 2;
     steps[2].after.after_val = both;
-    CU_ASSERT_EQUAL(cw_work_chain_ms(&spec), 160);
+    CU_ASSERT_EQUAL(cw_work_critical_path_ms(&spec), 160);
 }
 
 static const struct test tests[] = {
--- a/tools/bench/bench_place.c
+++ b/tools/bench/bench_place.c
@@ -85,7 +85,7 @@
         double began;
         double took;
 
-        site.owner->room_version++; /* as if something had come free */
+        site.owner->capacity_version++; /* as if something had come free */
         began = bench_now_us();
         pass(&site, 10);
         took = bench_now_us() - began;
