--- a/include/curlewcart/cw_headroom.h
+++ b/include/curlewcart/cw_headroom.h
@@ -1,36 +1,37 @@
-/* How many accelerators of a pool are kept free of lower work, for urgent work
- * that runs or may arrive.
+/* Headroom: the number of accelerators of a pool that are reserved for urgent
+ * work that runs or may arrive, and withheld from lower-priority work.
  *
- * Pure: no I/O and no clock of its own.  Callers tell what they see and when.
- */
+ * Pure: no I/O and no clock of its own.  Callers pass in their observations
+ * and the time. */
 #ifndef CURLEWCART_CW_HEADROOM_H
 #define CURLEWCART_CW_HEADROOM_H
 
 #include <time.h>
 
-/* Of one pool; zero-initialise, then cw_headroom_init. */
+/* Forecast for one pool; zero-initialise, then call cw_headroom_init. */
 struct cw_headroom {
-    struct timespec observed_at; /* of the last observation */
-    double peak;            /* accelerators that urgent work held, decaying */
-    double recent_arrivals; /* accelerators that urgent jobs asked for,
-                               decaying */
+    struct timespec observed_at; /* time of the last observation */
+    double peak;            /* accelerators that urgent work used, decaying */
+    double recent_arrivals; /* accelerators of new urgent jobs, decaying */
 };
 
+/* Begins with no headroom. */
 void cw_headroom_init(struct cw_headroom *headroom, struct timespec now);
 
-/* An urgent job that asks for so many accelerators was taken on. */
+/* Adds an urgent job that was accepted and requests so many accelerators. */
 void cw_headroom_arrived(struct cw_headroom *headroom, double accelerators);
 
-/* Urgent work holds so many accelerators now. */
-void cw_headroom_observe(struct cw_headroom *headroom, double held,
+/* Records that `used` accelerators are in use by urgent work now. */
+void cw_headroom_observe(struct cw_headroom *headroom, double used,
                          struct timespec now);
 
-/* Accelerators that urgent work will ask for before others can be made to
- * leave, at the present rate. */
+/* Returns the number of accelerators that urgent work, at its present rate of
+ * arrival, will request before other runs can be stopped. */
 double cw_headroom_expected_arrivals(const struct cw_headroom *headroom);
 
-/* Accelerators to keep free of lower work: what urgent work held lately, and
- * what may arrive before others can be made to leave. */
+/* Returns the number of accelerators to withhold from lower-priority work:
+ * what urgent work used lately, and what may arrive before other runs can be
+ * stopped. */
 double cw_headroom_reserved(const struct cw_headroom *headroom);
 
 #endif
--- a/include/curlewcart/cw_stragglers.h
+++ b/include/curlewcart/cw_stragglers.h
@@ -1,10 +1,11 @@
-/* Straggler detection: whether a slow or stalled run is held up by its worker.
+/* Straggler detection: decides whether a slow or stalled run is slow because
+ * of its worker.
  *
  * Service times are heavy-tailed: some tasks take several times as long as
  * others of their kind on any worker, and restarting one only discards its
- * work and that of its gang.  A faulty worker shows in more than the rate of
- * one run: the run was faster there before, or runs of other jobs are slow
- * there as well.
+ * work and that of its gang.  So the low rate of one run does not show that
+ * its worker is faulty.  A worker is taken for faulty if the run was faster
+ * there before, or if runs of other jobs are slow there as well.
  *
  * Pure: no I/O and no clock of its own.
  */
@@ -19,50 +20,51 @@
 /* Progress of a run. */
 struct cw_progress {
     unsigned percent;
-    int64_t unchanged_ms;  /* since its percent changed last */
+    int64_t unchanged_ms;  /* time since `percent` changed last */
     double ms_per_percent; /* by its rate so far, or its estimate; 0 unknown */
     bool awaits_gang;      /* another member of its gang is not at 100 */
 };
 
-/* True if the run has made no progress for so long that its worker is taken
- * for one that hangs.  A gang's members end together, so one that is at 100
- * percent is not stalled while it awaits others. */
+/* True if the run has made no progress for so long that its worker is assumed
+ * to hang.  A gang's members end together, so that a member at 100 percent is
+ * not stalled while it waits for others. */
 bool cw_progress_stalled(const struct cw_progress *progress);
 
-/* A run's rates of progress, in percent a second. */
+/* Rates of progress of a run, in percent per second. */
 struct cw_rates {
-    double rate;            /* lately */
-    double best;            /* the highest rate of it before; 0 unknown */
-    double peers;           /* of its gang's other members, as on its worker; 0
-                               unknown */
-    bool slow_in_other_job; /* another job's run on its worker was slow, and
-                         none has had a normal rate there since */
+    double rate;  /* in the last window */
+    double best;  /* highest rate of the run before; 0 unknown */
+    double peers; /* rate of its gang's other members, scaled to the speed
+                     of its worker; 0 unknown */
+    bool slow_in_other_job; /* a run of another job was slow on its worker, and
+                         no run has had a normal rate there since */
 };
 
 enum cw_rate_verdict {
-    CW_RATE_UNKNOWN, /* no rate to compare with */
+    CW_RATE_UNKNOWN, /* there is no rate to compare with */
     CW_RATE_NORMAL,
-    CW_RATE_LONG_TASK, /* slower than its peers, with nothing else against
-                          its worker */
+    CW_RATE_LONG_TASK, /* slower than its peers, and nothing else indicates
+                          that its worker is slow */
     CW_RATE_SLOW_WORKER
 };
 
-enum cw_rate_verdict cw_rates_classify(const struct cw_rates *pace);
+/* Compares the run's rate with its best one and that of its peers. */
+enum cw_rate_verdict cw_rates_classify(const struct cw_rates *rates);
 
-/* The rate that is expected of the run on a sound worker; 0 unknown. */
-double cw_rates_expected(const struct cw_rates *pace);
+/* Returns the rate that the run should have on a healthy worker; 0 unknown. */
+double cw_rates_expected(const struct cw_rates *rates);
 
-/* A run on a slow worker. */
+/* A run on a slow worker that could be restarted on another one. */
 struct cw_restart {
     unsigned percent;
-    bool checkpoints; /* what it has done is not done again */
+    bool checkpoints; /* the work done so far need not be repeated */
     bool urgent;
-    double rate;     /* percent a second here */
-    double expected; /* ... and elsewhere; above 0 */
+    double rate;     /* percent per second on this worker */
+    double expected; /* percent per second on another one; above 0 */
 };
 
-/* True if starting the run again elsewhere ends sooner than going on, by
- * enough for the work that is thrown away. */
+/* True if a restart on another worker ends earlier than the run would here,
+ * also with the cost of the restart. */
 bool cw_restart_is_worthwhile(const struct cw_restart *restart);
 
 #endif
--- a/src/owner/internal/owner_idle.h
+++ b/src/owner/internal/owner_idle.h
@@ -1,4 +1,5 @@
-/* Jobs of which nothing runs: since when, after what, and beside what room. */
+/* Idle jobs: jobs that could run and have no task running.  Records since when
+ * and for what cause, and whether there is free capacity for them. */
 #ifndef CURLEWCART_OWNER_IDLE_H
 #define CURLEWCART_OWNER_IDLE_H
 
@@ -10,42 +11,44 @@
 struct cw_owner;
 struct owner_job;
 
-/* What took a job's last runs from their workers before they were done. */
+/* Why a job's last runs were stopped or lost before they were done. */
 enum owner_idle_cause {
     OWNER_IDLE_NONE, /* nothing has run yet, or what ran is done */
     OWNER_IDLE_MOVED,
     OWNER_IDLE_STALLED,
     OWNER_IDLE_EVACUATED,
-    OWNER_IDLE_UNANSWERED, /* a start was given up, and its gang with it */
+    OWNER_IDLE_UNANSWERED, /* a start without an answer was given up, and its
+                              gang was stopped */
     OWNER_IDLE_PREEMPTED,
     OWNER_IDLE_LOST,
     OWNER_IDLE_FAILED
 };
 
 struct owner_idle {
-    struct cw_idle clock; /* since a worker listed a run of the job last, or
-                             a step's turn came */
-    struct timespec logged_at; /* that it waits was logged */
+    struct cw_idle clock;      /* begins again when a worker lists a run of the
+                                  job, or a step is unblocked */
+    struct timespec logged_at; /* when "job_waits" was logged last */
     enum owner_idle_cause cause;
 };
 
-/* Work that could run and does not. */
+/* Jobs that could run and do not, as of the last check. */
 struct owner_idle_stats {
-    struct timespec due;
+    struct timespec due; /* the next check */
     unsigned jobs;
     int64_t longest_ms;
-    unsigned repeating; /* tasks */
+    unsigned repeating; /* tasks that have lost several runs in a row */
 };
 
-/* ---- owner_idle_stats.c ---- */
+/* ---- owner_idle.c ---- */
 
-/* A step's turn has come, or the job has become known: it is idle from now. */
+/* Starts the job's idle time: a step was unblocked, or the job has become
+ * known. */
 void owner_idle_begin(struct cw_owner *owner, struct owner_job *job);
 
-/* A worker has listed a run of the job. */
+/* Ends the job's idle time: a worker has listed a run of it. */
 void owner_idle_end(struct cw_owner *owner, struct owner_job *job);
 
-/* Finds out which jobs could run and do not, and logs why. */
+/* Checks which jobs could run and do not, and logs why. */
 void owner_idle_tick(struct cw_owner *owner, struct timespec now);
 
 #endif
--- a/src/owner/internal/owner_placement.h
+++ b/src/owner/internal/owner_placement.h
@@ -1,169 +1,185 @@
-/* Placement: which waiting work goes where, and who gives way to it. */
+/* Placement: assigns waiting tasks to workers and preempts runs for them. */
 #ifndef CURLEWCART_OWNER_PLACEMENT_H
 #define CURLEWCART_OWNER_PLACEMENT_H
 
 #include "owner/internal/owner_private.h"
 
-/* ---- owner_placement_pass.c ---- */
+/* ---- owner_place.c ---- */
 
+/* Runs a placement pass over all steps that have tasks to place. */
 void owner_placement_pass(struct cw_owner *owner, struct timespec now);
 
 /* ---- owner_starvation.c ---- */
 
-/* Places some of what its job has waited for too long, of the steps given, in
- * room that is kept from others; the first come first. */
+/* Places tasks of those of the steps whose jobs have been idle for too long,
+ * also in reserved capacity.  Takes the steps in the order given, and a
+ * limited number in each call. */
 void owner_place_starved_steps(struct cw_owner *owner, const GPtrArray *steps,
                                struct timespec now);
 
-/* The same for one step; true if it was placed. */
+/* Does the same for one step; true if it was placed. */
 bool owner_place_starved_step(struct cw_owner *owner, struct owner_step *step,
                               struct timespec now);
 
 /* ---- owner_headroom_reclaim.c ---- */
 
-/* Makes what was let into kept room leave, as far as urgent work will soon
- * need that. */
+/* Stops runs that borrow headroom, as far as urgent work will soon need the
+ * capacity. */
 void owner_headroom_reclaim(struct cw_owner *owner, struct timespec now);
 
-/* ---- owner_placement_pass.c ---- */
+/* ---- owner_place.c ---- */
 
-/* True if it is the step's turn, and tasks of it wait for a place. */
+/* True if the step is unblocked and tasks of it wait to be placed. */
 bool
 owner_step_needs_placement(const struct owner_step *step, struct timespec now);
 
-/* True if the steps before this one are done, and it is not. */
+/* True if the step is not done and the steps that it depends on are. */
 bool owner_step_is_unblocked(const struct owner_step *step);
 
-/* True if the step's gang belongs into one rack, and a rack could hold it if
- * nothing else ran there; else it may be spread. */
+/* True if the step's gang has to be placed in one rack, and the total capacity
+ * of some rack is enough for it.  If not, it may be placed across racks. */
 bool owner_step_needs_rack(const struct cw_owner *owner,
                            struct owner_step *step, struct timespec now);
 
-/* How many tasks that take `need` fit into `room`. */
-unsigned owner_fit_count(const struct cw_resources *room,
+/* Returns how many tasks that require `need` fit into `available`. */
+unsigned owner_fit_count(const struct cw_resources *available,
                          const struct cw_resources *need);
 
-/* A worker's runs of lower work have gone from none to some, or to none. */
+/* Updates the number of workers with lower-priority runs in the worker's rack:
+ * `change` is 1 when the worker gets its first such run, -1 when it loses its
+ * last one. */
 void owner_rack_count_lower_priority(struct owner_target *target, int change);
 
-/* Room of a worker for new runs. */
+/* Returns what a worker has free for new runs. */
 struct cw_resources owner_free_resources(const struct owner_target *target);
 
-/* True if the step's queue and labels allow the worker. */
+/* True if the step's service, data residency and label and the cordons allow
+ * the worker. */
 bool owner_step_allows_target(const struct owner_step *step,
                               const struct owner_target *target);
 
-/* `fits`, cut to what the step allows on one worker. */
+/* Returns `fits`, limited by the number of tasks that the step allows on one
+ * worker. */
 unsigned
 owner_limit_per_worker(const struct owner_step *step,
                        const struct owner_target *target, unsigned fits);
 
-/* Starts `step`'s tasks without a run on the workers given, in order; with
- * RUN_RESERVED they wait for others to leave. */
+/* A number of a step's tasks that are to be placed on a worker. */
 struct owner_choice {
     struct owner_target *target;
     unsigned tasks;
 };
+
+/* Creates runs on the workers given, in order, for those of the step's tasks
+ * that have none.  With the phase RUN_RESERVED they wait until other runs have
+ * ended there. */
 void owner_assign(struct cw_owner *owner, struct owner_step *step,
                   const GArray *choices, enum run_phase phase);
 
-/* ---- owner_available.c: workers with room, in this pass ---- */
+/* ---- owner_available.c: workers with free capacity, in this pass ---- */
 
 struct owner_available *owner_available_create(void);
-void owner_available_free(struct owner_available *open);
+void owner_available_free(struct owner_available *available);
 
-/* Another pass of placement begins, for the steps given. */
-void
-owner_available_reset(struct owner_available *open, const GPtrArray *steps);
+/* Resets the list at the start of a placement pass for the steps given. */
+void owner_available_reset(struct owner_available *available,
+                           const GPtrArray *steps);
 
-/* Workers that are usable and have room for the least demanding of the steps
- * at least, as struct owner_target.  Borrowed until the next call. */
+/* Returns the workers that are usable and have free at least what the least
+ * demanding of the steps requires, as struct owner_target.  Borrowed until the
+ * next call. */
 const GPtrArray *
 owner_available_targets(struct cw_owner *owner, struct timespec now);
 
-/* ---- owner_memo.c: shapes that found no place in this pass ---- */
+/* ---- owner_memo.c: requirements that could not be met in this pass ---- */
 
+/* A way of finding capacity for a step. */
 enum owner_attempt {
-    OWNER_ATTEMPT_PLACE,        /* among what is free */
-    OWNER_ATTEMPT_PREEMPT,      /* by making others leave */
-    OWNER_ATTEMPT_RESERVE_RACK, /* a rack that will be free, kept clear */
-    OWNER_ATTEMPT_STARVED /* among what is free, whatever it is kept for */
+    OWNER_ATTEMPT_PLACE,        /* in free capacity that is not reserved */
+    OWNER_ATTEMPT_PREEMPT,      /* by preempting other runs */
+    OWNER_ATTEMPT_RESERVE_RACK, /* by reserving a rack for later */
+    OWNER_ATTEMPT_STARVED       /* in all free capacity, reserved or not */
 };
 
 struct owner_memo *owner_memo_create(void);
 void owner_memo_free(struct owner_memo *memo);
 
-/* Another pass of placement begins. */
+/* Resets the memo at the start of a placement pass. */
 void owner_memo_reset(struct owner_memo *memo);
 
-/* True if a step like this one, or one that is easier to place, has found
- * no place in this pass, and none has come free since. */
+/* True if a step like this one, or one that is easier to place, has failed in
+ * this attempt in this pass, and no capacity has become free since. */
 bool owner_memo_has_failed(struct cw_owner *owner, struct owner_step *step,
                            enum owner_attempt attempt, struct timespec now);
+
+/* Remembers that the attempt failed for the step. */
 void owner_memo_add_failure(struct cw_owner *owner, struct owner_step *step,
                             enum owner_attempt attempt, struct timespec now);
 
 /* ---- owner_headroom.c ---- */
 
-/* Counts anew what urgent work holds and how far lower work may spread. */
+/* Counts again what urgent work uses, and sets the limits on the number of
+ * workers that lower-priority work may use. */
 void owner_headroom_update(struct cw_owner *owner, struct timespec now);
 
-/* True if lower work may be placed on the worker. */
+/* True if the headroom allows the step's lower-priority work on the worker. */
 bool
 owner_headroom_allows(struct cw_owner *owner, const struct owner_step *step,
                       const struct owner_target *target, struct timespec now);
 
-/* True if the step has waited so long on a mostly idle service that nothing
- * is kept from it. */
+/* True if the step has waited so long, in a service that is mostly idle, that
+ * headroom does not apply to it. */
 bool
 owner_headroom_exempts(struct cw_owner *owner, const struct owner_step *step,
                        struct timespec now);
 
-/* How many more workers of the service lower work may be put on. */
+/* Returns how many more workers of the service may get lower-priority runs. */
 unsigned owner_headroom_workers_left(struct cw_owner *owner,
                                      const struct owner_step *step,
                                      const char *service, struct timespec now);
 
-/* A job was taken on. */
+/* Counts the accelerators that an accepted job requests, if it is urgent. */
 void owner_headroom_job_accepted(struct cw_owner *owner,
                                  const struct owner_job *job);
 
-/* A run was placed in room that is kept; counted anew with each update. */
+/* Records that a run was placed in headroom.  Each update counts such runs
+ * again. */
 void
 owner_headroom_borrowed(struct cw_owner *owner, const struct owner_run *run);
 
-/* Accelerators that are not free for what urgent work will ask for before
- * others can be made to leave; 0 or less: there are enough. */
+/* Returns how many accelerators are missing for what urgent work will request
+ * before other runs can be stopped; 0 or less: there are enough. */
 int64_t owner_headroom_shortage(struct cw_owner *owner, const char *service);
 
-/* A run that was placed in room that is kept has been told to leave. */
+/* Records that a run that was placed in headroom is being stopped. */
 void
 owner_headroom_returned(struct cw_owner *owner, const struct owner_run *run);
 
-/* A run of lower work was placed on the worker. */
+/* Records that a lower-priority run was placed on the worker. */
 void owner_headroom_worker_taken(struct cw_owner *owner,
                                  const struct owner_target *target);
 
 /* ---- owner_preempt.c ---- */
 
-/* Core-seconds that stopping the run now throws away. */
+/* Returns how many core-seconds of work are lost if the run is stopped now. */
 double owner_run_stop_cost(const struct owner_run *run, struct timespec now);
 
-/* True if neither the run nor another member of its gang must go on. */
+/* True if the run is neither stopping nor finished, and neither it nor another
+ * member of its gang is protected from being stopped. */
 bool owner_run_may_be_stopped(const struct owner_run *run);
 
-/* Makes others leave so that the gang or the tasks of `step` can run.
- * Returns false if no set of them is worth it. */
+/* Preempts other runs so that the gang or the tasks of `step` can run.
+ * Returns false if no set of runs that may be preempted frees enough. */
 bool owner_preempt(struct cw_owner *owner, struct owner_step *step,
                    struct timespec now);
 
-/* Counts what accounts ask for with their most urgent jobs.  The names are
- * borrowed from jobs: to be counted anew before owner_job_is_guaranteed is
- * asked. */
+/* Counts the accelerators that each account requests in its most urgent jobs.
+ * The accounts' names are borrowed from jobs, so that this has to be called
+ * again in each pass before owner_job_is_guaranteed. */
 void owner_demand_update(struct cw_owner *owner);
 
-/* True if the job's account is within its guarantee with all its most
- * urgent jobs that have not ended. */
+/* True if all the most urgent jobs of the job's account that have not ended
+ * are together within the account's guarantee. */
 bool owner_job_is_guaranteed(const struct cw_owner *owner,
                              const struct owner_job *job);
 
--- a/src/owner/internal/owner_spare.h
+++ b/src/owner/internal/owner_spare.h
@@ -1,43 +1,47 @@
-/* Room that workers have free by their own word, and what keeps a step from
+/* Spare capacity as reported by workers, and what blocks a step from using
  * it. */
 #ifndef CURLEWCART_OWNER_SPARE_H
 #define CURLEWCART_OWNER_SPARE_H
 
 #include "owner/internal/owner_private.h"
 
-/* What keeps a step from room on a worker; the first that holds. */
+/* What blocks a step from using spare capacity of a worker: the first that
+ * applies, in this order. */
 enum owner_blocker {
-    OWNER_BLOCKER_NONE,        /* the next pass of placement may take it */
-    OWNER_BLOCKER_UNCONFIRMED, /* runs are placed there that it has not
-                                  confirmed */
-    OWNER_BLOCKER_AVOIDED,  /* it failed, was late, slow, full, or is on trial
-                             */
-    OWNER_BLOCKER_RACK,     /* its rack is kept clear for a gang */
-    OWNER_BLOCKER_HEADROOM, /* it is kept free for urgent work */
+    OWNER_BLOCKER_NONE,        /* the next placement pass may use it */
+    OWNER_BLOCKER_UNCONFIRMED, /* assigned to runs that it has not confirmed */
+    OWNER_BLOCKER_AVOIDED,     /* it failed, answers late, is slow or has a run
+                                  on probation, or refused work as it was full
+                                */
+    OWNER_BLOCKER_RACK,        /* its rack is reserved for a gang */
+    OWNER_BLOCKER_HEADROOM,    /* it is headroom for urgent work */
     OWNER_BLOCKERS
 };
 
-/* Tasks of a step that would fit into what is free. */
+/* How much of a step would fit into the spare capacity. */
 struct owner_spare_fit {
-    unsigned tasks;
+    unsigned tasks; /* in all */
     unsigned by_blocker[OWNER_BLOCKERS];
-    bool twice; /* what can only begin together, a task or a gang, fits twice,
-                   and once within a rack if it belongs into one */
+    bool twice; /* a single task, or the whole gang, fits twice; if the gang
+                   needs a rack, it also fits once within a rack */
 };
 
 struct owner_spare;
 
-/* The workers with room for tasks of `least` accelerators.  To be freed before
- * the owner goes on. */
-struct owner_spare *owner_spare_create(struct cw_owner *owner, uint32_t least,
-                                       struct timespec now);
+/* Collects the workers with at least `min_accelerators` spare accelerators.
+ * Has to be freed before the owner's workers change. */
+struct owner_spare *
+owner_spare_create(struct cw_owner *owner, uint32_t min_accelerators,
+                   struct timespec now);
 void owner_spare_free(struct owner_spare *spare);
 
-/* Only `twice` of it, in less time: with 1,100 workers that all have room and
- * 4,000 waiting jobs the whole took 0.19 s. */
+/* Returns only the member `twice` of owner_spare_fit, as this takes less time:
+ * with 1,100 workers that all have spare capacity and 4,000 waiting jobs,
+ * owner_spare_fit for all of them took 0.19 s. */
 bool owner_spare_fits_twice(const struct owner_spare *spare,
                             struct owner_step *step);
 
+/* Returns how much of the step would fit, by what blocks it. */
 struct owner_spare_fit
 owner_spare_fit(const struct owner_spare *spare, struct owner_step *step);
 
--- a/src/owner/owner_candidates.c
+++ b/src/owner/owner_candidates.c
@@ -1,4 +1,4 @@
-/* Which workers may take a step, and in which order. */
+/* Selects the workers on which a step may be placed, and orders them. */
 #include "owner/internal/owner_candidates.h"
 #include "owner/internal/owner_placement.h"
 #include "owner/internal/owner_crashes.h"
@@ -6,19 +6,19 @@
 #include <string.h>
 
 unsigned
-owner_fit_count(const struct cw_resources *room,
+owner_fit_count(const struct cw_resources *available,
                 const struct cw_resources *need)
 {
     int64_t fits = G_MAXUINT16;
 
     if (need->cpu_milli > 0) {
-        fits = MIN(fits, room->cpu_milli / need->cpu_milli);
+        fits = MIN(fits, available->cpu_milli / need->cpu_milli);
     }
     if (need->memory_mb > 0) {
-        fits = MIN(fits, room->memory_mb / need->memory_mb);
+        fits = MIN(fits, available->memory_mb / need->memory_mb);
     }
     if (need->accelerators > 0) {
-        fits = MIN(fits, room->accelerators / need->accelerators);
+        fits = MIN(fits, available->accelerators / need->accelerators);
     }
     return fits > 0 ? (unsigned)fits : 0;
 }
@@ -26,19 +26,19 @@
 struct cw_resources
 owner_free_resources(const struct owner_target *target)
 {
-    struct cw_resources room = target->capacity;
+    struct cw_resources available = target->capacity;
 
-    owner_resources_subtract(&room, &target->used);
-    owner_resources_subtract(&room, &target->reserved);
-    owner_resources_subtract(&room, &target->orphans);
-    return room;
+    owner_resources_subtract(&available, &target->used);
+    owner_resources_subtract(&available, &target->reserved);
+    owner_resources_subtract(&available, &target->orphans);
+    return available;
 }
 
-/* ---- which workers may take a step ---- */
+/* ---- restrictions of a step ---- */
 
-/* Runs of the step's occurrence on the worker. */
+/* Returns the number of the step's runs on the worker. */
 static unsigned
-runs_there(const struct owner_step *step, const struct owner_target *target)
+run_count_on(const struct owner_step *step, const struct owner_target *target)
 {
     unsigned count = 0;
 
@@ -72,19 +72,20 @@
 owner_limit_per_worker(const struct owner_step *step,
                        const struct owner_target *target, unsigned fits)
 {
-    unsigned most = step->spec->most_per_worker;
-    unsigned there;
+    unsigned max_tasks = step->spec->most_per_worker;
+    unsigned count;
 
-    if (most == 0) {
+    if (max_tasks == 0) {
         return fits;
     }
-    there = runs_there(step, target);
-    return there >= most ? 0 : MIN(fits, most - there);
+    count = run_count_on(step, target);
+    return count >= max_tasks ? 0 : MIN(fits, max_tasks - count);
 }
 
-/* Negative if `x` is faster, by enough to matter. */
+/* Negative if `x` is in a faster class than `y`, positive if in a slower one.
+ */
 static int
-owner_compare_speed(const struct owner_target *x, const struct owner_target *y)
+compare_speed(const struct owner_target *x, const struct owner_target *y)
 {
     int a = (int)(x->incarnation.speed / OWNER_SPEED_STEP);
     int b = (int)(y->incarnation.speed / OWNER_SPEED_STEP);
@@ -92,18 +93,19 @@
     return b - a;
 }
 
-/* Fullest first: whole workers stay whole for tasks that need them. */
+/* Orders the fullest workers first, so that idle ones stay whole for tasks
+ * that need a whole worker. */
 static gint
-by_room(gconstpointer a, gconstpointer b)
+by_fullness(gconstpointer a, gconstpointer b)
 {
     const struct owner_candidate *x = a;
     const struct owner_candidate *y = b;
 
-    if (x->room.accelerators != y->room.accelerators) {
-        return x->room.accelerators < y->room.accelerators ? -1 : 1;
+    if (x->available.accelerators != y->available.accelerators) {
+        return x->available.accelerators < y->available.accelerators ? -1 : 1;
     }
-    if (x->room.memory_mb != y->room.memory_mb) {
-        return x->room.memory_mb < y->room.memory_mb ? -1 : 1;
+    if (x->available.memory_mb != y->available.memory_mb) {
+        return x->available.memory_mb < y->available.memory_mb ? -1 : 1;
     }
     return x->target->number < y->target->number ? -1 : 1;
 }
@@ -114,15 +116,15 @@
     return candidate->target->runs->len == 0;
 }
 
-/* For urgent work: what is fast first, as its objective is little more than
- * its own length; then workers in use, so that idle ones stay for tasks that
- * need them whole; then what is full. */
+/* For urgent work: the fastest workers first, as its objective is little
+ * longer than the work takes; then workers in use, so that idle ones stay
+ * whole for tasks that need a whole worker; then the fullest. */
 static gint
 by_speed(gconstpointer a, gconstpointer b)
 {
     const struct owner_candidate *x = a;
     const struct owner_candidate *y = b;
-    int speed = owner_compare_speed(x->target, y->target);
+    int speed = compare_speed(x->target, y->target);
 
     if (speed != 0) {
         return speed;
@@ -130,13 +132,13 @@
     if (owner_candidate_is_idle(x) != owner_candidate_is_idle(y)) {
         return owner_candidate_is_idle(x) ? 1 : -1;
     }
-    return by_room(a, b);
+    return by_fullness(a, b);
 }
 
-/* For lower work: racks and workers that have some already, so that it
- * spreads no further than it must. */
+/* For lower-priority work: racks and workers that have such runs first, so
+ * that it occupies as few as possible, then the slowest. */
 static gint
-by_lower_work(gconstpointer a, gconstpointer b)
+by_lower_priority_runs(gconstpointer a, gconstpointer b)
 {
     const struct owner_candidate *x = a;
     const struct owner_candidate *y = b;
@@ -151,15 +153,16 @@
     {
         return x->target->lower_priority_runs > 0 ? -1 : 1;
     }
-    if (owner_compare_speed(x->target, y->target) != 0) {
-        return -owner_compare_speed(x->target, y->target);
+    if (compare_speed(x->target, y->target) != 0) {
+        return -compare_speed(x->target, y->target);
     }
-    return by_room(a, b);
+    return by_fullness(a, b);
 }
 
-/* For what may crash its worker: where least would go with it. */
+/* For suspects, which may crash their worker: workers with the lowest
+ * neighbour weight first, as a crash there loses the least. */
 static gint
-by_company(gconstpointer a, gconstpointer b)
+by_neighbour_weight(gconstpointer a, gconstpointer b)
 {
     const struct owner_candidate *x = a;
     const struct owner_candidate *y = b;
@@ -167,16 +170,16 @@
     if (x->neighbour_weight != y->neighbour_weight) {
         return x->neighbour_weight < y->neighbour_weight ? -1 : 1;
     }
-    return by_room(a, b);
+    return by_fullness(a, b);
 }
 
 static GCompareFunc
 order_for(const struct owner_step *step)
 {
     if (step->suspects > 0) {
-        return by_company;
+        return by_neighbour_weight;
     }
-    return step->occurrence->job->spec->priority > 0 ? by_lower_work
+    return step->occurrence->job->spec->priority > 0 ? by_lower_priority_runs
                                                      : by_speed;
 }
 
@@ -191,10 +194,11 @@
                step->occurrence->job->spec->priority;
 }
 
-/* Drops the workers by which lower work would spread too far: each of them
- * may be taken alone, but not all by one wide step. */
+/* Removes the candidates beyond the number of workers that lower-priority work
+ * may still get.  Each of them could be used alone, but one wide step must not
+ * use them all. */
 static void
-keep_headroom(struct cw_owner *owner, const struct owner_step *step,
+limit_workers(struct cw_owner *owner, const struct owner_step *step,
               GArray *candidates, struct timespec now)
 {
     unsigned left = owner_headroom_workers_left(
@@ -229,7 +233,7 @@
     return fits;
 }
 
-/* Adds the worker if the step finds room there. */
+/* Adds the worker if a task of the step fits there. */
 static void
 add_candidate(GArray *out, const struct owner_step *step,
               struct owner_target *target)
@@ -237,8 +241,8 @@
     struct cw_resources need = owner_step_need(step->spec);
     struct owner_candidate candidate = {.target = target};
 
-    candidate.room = owner_free_resources(target);
-    candidate.fits = owner_fit_count(&candidate.room, &need);
+    candidate.available = owner_free_resources(target);
+    candidate.fits = owner_fit_count(&candidate.available, &need);
     if (candidate.fits == 0 || target->probation_runs > 0 ||
         !owner_step_allows_target(step, target))
     {
@@ -260,17 +264,17 @@
                  struct timespec now)
 {
     GArray *out = g_array_new(FALSE, FALSE, sizeof(struct owner_candidate));
-    const GPtrArray *open = owner_available_targets(owner, now);
+    const GPtrArray *usable = owner_available_targets(owner, now);
     const struct owner_job *job = step->occurrence->job;
     bool lower = job->spec->priority > 0;
-    /* Without it lower work stays on the workers that have some. */
-    bool spreads = !lower || owner_headroom_workers_left(
-                                 owner, step, job->service, now) > 0;
+    /* If false, only workers with lower-priority runs may be used. */
+    bool may_add_workers = !lower || owner_headroom_workers_left(
+                                         owner, step, job->service, now) > 0;
 
-    for (guint i = 0; i < open->len; i++) {
-        struct owner_target *target = open->pdata[i];
+    for (guint i = 0; i < usable->len; i++) {
+        struct owner_target *target = usable->pdata[i];
 
-        if ((spreads || target->lower_priority_runs > 0) &&
+        if ((may_add_workers || target->lower_priority_runs > 0) &&
             !owner_target_is_reserved(target, step, now))
         {
             add_candidate(out, step, target);
@@ -278,14 +282,14 @@
     }
     g_array_sort(out, order_for(step));
     if (lower) {
-        keep_headroom(owner, step, out, now);
+        limit_workers(owner, step, out, now);
     }
     return out;
 }
 
 GPtrArray *
-owner_reachable_targets(struct cw_owner *owner,
-                        const struct cw_resources *least, struct timespec now)
+owner_reachable_targets(struct cw_owner *owner, const struct cw_resources *min,
+                        struct timespec now)
 {
     GPtrArray *targets = g_ptr_array_new();
     GHashTableIter iterator;
@@ -293,9 +297,9 @@
 
     g_hash_table_iter_init(&iterator, owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        struct cw_resources room = owner_free_resources(value);
+        struct cw_resources available = owner_free_resources(value);
 
-        if (owner_fit_count(&room, least) > 0 &&
+        if (owner_fit_count(&available, min) > 0 &&
             owner_target_reachable(value, now)) {
             g_ptr_array_add(targets, value);
         }
@@ -303,10 +307,11 @@
     return targets;
 }
 
-/* How readily room there is given up; 0 first. */
+/* Returns how late the worker is used if nothing is withheld from the step; 0
+ * first. */
 static unsigned
-doubts(const struct owner_target *target, const struct owner_step *step,
-       struct timespec now)
+withheld_level(const struct owner_target *target,
+               const struct owner_step *step, struct timespec now)
 {
     if (!owner_target_usable(target, now)) {
         return 2;
@@ -319,15 +324,15 @@
                                const struct owner_step *step,
                                struct timespec now)
 {
-    enum { DOUBTS = 3 };
+    enum { WITHHELD_LEVELS = 3 };
     GArray *out = g_array_new(FALSE, FALSE, sizeof(struct owner_candidate));
 
-    for (unsigned level = 0; level < DOUBTS; level++) {
+    for (unsigned level = 0; level < WITHHELD_LEVELS; level++) {
         GArray *part =
             g_array_new(FALSE, FALSE, sizeof(struct owner_candidate));
 
         for (guint i = 0; i < targets->len; i++) {
-            if (doubts(targets->pdata[i], step, now) == level) {
+            if (withheld_level(targets->pdata[i], step, now) == level) {
                 add_candidate(part, step, targets->pdata[i]);
             }
         }
--- a/src/owner/owner_cordons.c
+++ b/src/owner/owner_cordons.c
@@ -1,20 +1,21 @@
-/* Starts and data centres that operators have cordoned.
+/* Cordons: withholds starts from data centres that operators have cordoned.
  *
- * Every start is checked as it is sent (owner_orders_send), whatever it is
- * for: a first one, one sent again, the rest of a gang, a place that was
- * reserved, a run of a VM that has just taken over.  Placement leaves cordoned
- * data centres out as well, but it decides earlier than starts are sent.
+ * Every start is checked when it is sent (owner_orders_send): a first start, a
+ * retry, the rest of a gang, a reserved run, a run that was taken over from
+ * another VM.  Placement also excludes cordoned data centres, but it takes
+ * place earlier, and a cordon may follow it.
  *
- * A cordon that is not known here could not be kept, so that starts wait while
- * orders have not been read for as long as the bound allows. */
+ * A cordon that this VM has not read yet cannot be obeyed.  So all starts wait
+ * if the operators' commands have not been read for nearly as long as a cordon
+ * may take to become effective. */
 #include "owner/internal/owner_private.h"
 
 enum {
-    /* Of the bound, for a start on its way to the worker: with its time-out
+    /* The part of that time which is left for a start in flight: its timeout,
      * and as much again for a slow worker. */
-    ON_THE_WAY_MS = 1000,
-    /* Reads of orders are tried again so often while starts wait. */
-    READ_AGAIN_MS = 100
+    START_IN_FLIGHT_MS = 1000,
+    /* Interval of reads of the commands while starts wait. */
+    READ_RETRY_MS = 100
 };
 
 bool
@@ -39,11 +40,11 @@
         return true;
     }
     staleness_ms = cw_cordons_staleness_ms(options->cordons, now);
-    if (staleness_ms <= (int64_t)options->cordon_ms - ON_THE_WAY_MS) {
+    if (staleness_ms <= (int64_t)options->cordon_ms - START_IN_FLIGHT_MS) {
         return true;
     }
     if (!cw_time_before(now, owner->cordons_read_due)) {
-        owner->cordons_read_due = cw_time_add_ms(now, READ_AGAIN_MS);
+        owner->cordons_read_due = cw_time_add_ms(now, READ_RETRY_MS);
         cw_log_info("starts_wait",
                     "reason=orders_not_read staleness_ms=%" PRId64,
                     staleness_ms);
--- a/src/owner/owner_gang_dcs.c
+++ b/src/owner/owner_gang_dcs.c
@@ -1,24 +1,24 @@
-/* Places for gangs that no rack holds.
+/* Chooses workers for gangs that don't fit into a rack.
  *
- * A data centre that is cut off, or loses power, takes every gang with it that
- * has a member there: one that spans five is hit five times as often, and the
- * work of all its members is lost each time.  So a gang goes into one data
- * centre if it fits, else over as few as hold it. */
+ * When a data centre is cut off or loses power, every gang with a member there
+ * is lost.  A gang that spans five data centres is lost five times as often,
+ * with the work of all its members.  So a gang is placed in one data centre if
+ * it fits there, and otherwise in as few as possible. */
 #include "owner/internal/owner_candidates.h"
 #include "owner/internal/owner_placement.h"
 
-/* What a data centre offers a gang. */
+/* What a data centre would give a gang. */
 struct dc_offer {
     const char *dc;
-    unsigned fits; /* tasks, in all its candidates */
-    unsigned idle; /* idle workers that the gang would take */
-    unsigned left; /* tasks that have no place yet */
+    unsigned fits;       /* tasks that fit on all its candidates */
+    unsigned idle;       /* idle workers that the gang would use */
+    unsigned unassigned; /* tasks that are not assigned yet */
 };
 
 static struct dc_offer *
 offer_of(GArray *offers, const char *dc, unsigned tasks)
 {
-    struct dc_offer added = {.dc = dc, .left = tasks};
+    struct dc_offer added = {.dc = dc, .unassigned = tasks};
 
     for (guint i = 0; i < offers->len; i++) {
         struct dc_offer *offer = &g_array_index(offers, struct dc_offer, i);
@@ -42,27 +42,29 @@
         struct dc_offer *offer = offer_of(offers, c->target->dc, tasks);
 
         offer->fits += c->fits;
-        if (offer->left > 0) {
+        if (offer->unassigned > 0) {
             offer->idle += owner_candidate_is_idle(c);
-            offer->left -= MIN(offer->left, c->fits);
+            offer->unassigned -= MIN(offer->unassigned, c->fits);
         }
     }
     return offers;
 }
 
-/* Those that hold the gang first, of them the one with the fewest idle workers
- * to lose and the least to spare; then the largest. */
+/* Orders data centres that can hold the whole gang first, and among them those
+ * in which it would use the fewest idle workers, then those with the least
+ * free capacity.  Of the others, those with the most free capacity come first.
+ */
 static gint
 by_offer(gconstpointer a, gconstpointer b)
 {
     const struct dc_offer *x = a;
     const struct dc_offer *y = b;
-    bool x_holds = x->left == 0;
+    bool x_fits = x->unassigned == 0;
 
-    if (x_holds != (y->left == 0)) {
-        return x_holds ? -1 : 1;
+    if (x_fits != (y->unassigned == 0)) {
+        return x_fits ? -1 : 1;
     }
-    if (!x_holds) {
+    if (!x_fits) {
         return x->fits > y->fits ? -1 : x->fits < y->fits;
     }
     if (x->idle != y->idle) {
@@ -71,26 +73,26 @@
     return x->fits < y->fits ? -1 : x->fits > y->fits;
 }
 
-/* Takes up to `tasks` from the candidates in the data centre; returns how
- * many. */
+/* Distributes up to `tasks` tasks over the candidates in the data centre;
+ * returns how many. */
 static unsigned
-choose_in(const GArray *candidates, const char *dc, unsigned tasks,
-          GArray *choices)
+choose_in_dc(const GArray *candidates, const char *dc, unsigned tasks,
+             GArray *choices)
 {
-    unsigned taken = 0;
+    unsigned chosen = 0;
 
-    for (guint i = 0; i < candidates->len && taken < tasks; i++) {
+    for (guint i = 0; i < candidates->len && chosen < tasks; i++) {
         const struct owner_candidate *c =
             &g_array_index(candidates, struct owner_candidate, i);
         struct owner_choice choice = {.target = c->target,
-                                      .tasks = MIN(tasks - taken, c->fits)};
+                                      .tasks = MIN(tasks - chosen, c->fits)};
 
         if (c->target->dc == dc) {
             g_array_append_val(choices, choice);
-            taken += choice.tasks;
+            chosen += choice.tasks;
         }
     }
-    return taken;
+    return chosen;
 }
 
 GArray *
@@ -101,9 +103,9 @@
 
     g_array_sort(offers, by_offer);
     for (guint i = 0; i < offers->len && tasks > 0; i++) {
-        tasks -=
-            choose_in(candidates, g_array_index(offers, struct dc_offer, i).dc,
-                      tasks, choices);
+        tasks -= choose_in_dc(candidates,
+                              g_array_index(offers, struct dc_offer, i).dc,
+                              tasks, choices);
     }
     g_array_unref(offers);
     return choices;
--- a/src/owner/owner_headroom.c
+++ b/src/owner/owner_headroom.c
@@ -1,51 +1,52 @@
-/* Room kept for urgent work.
+/* Headroom: capacity that is reserved for urgent work.
  *
- * Urgent tasks last seconds; waiting until others have left their place
- * costs as much as the objective allows.  So lower work is packed onto as
- * few workers as it needs, and onto no more than leave room for what urgent
- * work took lately and for what may arrive before a place can be freed.
+ * Urgent tasks last seconds, and waiting until other runs have been stopped
+ * takes as long as their objective allows.  So lower-priority work is packed
+ * onto as few workers as it needs, and its number of workers is limited so
+ * that there is free capacity for what urgent work used lately and for what
+ * may arrive before other runs can be stopped.
  *
- * How much that is, src/placement/headroom.c forecasts. */
+ * src/placement/headroom.c forecasts how much that is. */
 #include "owner/internal/owner_placement.h"
 
 #include <string.h>
 
 enum {
-    /* Below this use of the accelerators nothing is kept free from a job
-     * that has no task running and has waited for WAITED_MS. */
-    IDLE_PERCENT = 60,
-    WAITED_MS = 1500,
+    /* If less than this part of the accelerators is in use, headroom does not
+     * apply to a job that has no run and has waited for EXEMPT_AFTER_MS. */
+    MOSTLY_IDLE_BELOW_PERCENT = 60,
+    EXEMPT_AFTER_MS = 1500,
     PERCENT = 100
 };
 
-/* A service's workers as they are now. */
+/* Totals over a service's workers. */
 struct census {
-    struct owner_headroom *room;
+    struct owner_headroom *headroom;
     unsigned workers;
-    unsigned lower_priority_workers; /* of lower work */
+    unsigned lower_priority_workers; /* those with lower-priority runs */
     int64_t accelerators;
-    int64_t urgent;            /* accelerators that urgent runs hold */
-    int64_t used;              /* accelerators that any runs hold */
-    int64_t leaving;           /* of them, by runs that are told to leave */
-    int64_t headroom_borrowed; /* accelerators of runs in room that is kept */
+    int64_t urgent;   /* accelerators that urgent runs use */
+    int64_t used;     /* accelerators that all runs use */
+    int64_t stopping; /* those of `used` that belong to stopping runs */
+    int64_t headroom_borrowed; /* accelerators of runs that borrow headroom */
 };
 
 static struct owner_headroom *
 headroom_of(struct cw_owner *owner, const char *service)
 {
-    struct owner_headroom *room =
+    struct owner_headroom *headroom =
         g_hash_table_lookup(owner->headroom, service);
 
-    if (room == NULL) {
-        room = g_new0(struct owner_headroom, 1);
-        cw_headroom_init(&room->forecast, owner_now(owner));
-        g_hash_table_insert(owner->headroom, g_strdup(service), room);
+    if (headroom == NULL) {
+        headroom = g_new0(struct owner_headroom, 1);
+        cw_headroom_init(&headroom->forecast, owner_now(owner));
+        g_hash_table_insert(owner->headroom, g_strdup(service), headroom);
     }
-    return room;
+    return headroom;
 }
 
 static void
-count_target(struct census *census, const struct owner_target *target)
+census_add(struct census *census, const struct owner_target *target)
 {
     census->workers++;
     census->accelerators += target->capacity.accelerators;
@@ -55,7 +56,7 @@
 
         census->used += run->task->step->spec->accelerators;
         if (run->stopping) {
-            census->leaving += run->task->step->spec->accelerators;
+            census->stopping += run->task->step->spec->accelerators;
         }
         else if (run->headroom_borrowed) {
             census->headroom_borrowed += run->task->step->spec->accelerators;
@@ -66,11 +67,11 @@
     }
 }
 
-/* Workers that no guarantee covers: they are open to lower work whatever
- * urgent work asks for. */
+/* Returns how many workers no guarantee covers: lower-priority work may use
+ * these whatever urgent work requests. */
 static unsigned
-open_workers(const struct cw_owner *owner, const struct census *census,
-             double per_worker)
+unguaranteed_workers(const struct cw_owner *owner, const struct census *census,
+                     double per_worker)
 {
     double guaranteed = 0;
 
@@ -87,39 +88,39 @@
                : 0;
 }
 
-/* How many workers lower work may be on. */
+/* Sets how many workers may have lower-priority runs. */
 static void
 set_limit(const struct cw_owner *owner, const struct census *census,
           struct timespec now)
 {
-    struct owner_headroom *room = census->room;
+    struct owner_headroom *headroom = census->headroom;
     double per_worker = (double)census->accelerators / MAX(1, census->workers);
-    double kept;
-
-    cw_headroom_observe(&room->forecast, (double)census->urgent, now);
-    room->lower_priority_workers = census->lower_priority_workers;
-    room->free = census->accelerators - census->used + census->leaving;
-    room->headroom_borrowed = census->headroom_borrowed;
-    room->mostly_idle =
-        census->used * PERCENT < census->accelerators * IDLE_PERCENT;
+    double reserved;
+
+    cw_headroom_observe(&headroom->forecast, (double)census->urgent, now);
+    headroom->lower_priority_workers = census->lower_priority_workers;
+    headroom->free = census->accelerators - census->used + census->stopping;
+    headroom->headroom_borrowed = census->headroom_borrowed;
+    headroom->mostly_idle = census->used * PERCENT <
+                            census->accelerators * MOSTLY_IDLE_BELOW_PERCENT;
     if (per_worker <= 0) {
-        room->max_lower_priority_workers =
-            census->workers; /* nothing to measure by */
+        headroom->max_lower_priority_workers =
+            census->workers; /* no accelerators to reserve */
         return;
     }
-    kept = cw_headroom_reserved(&room->forecast) / per_worker;
-    room->max_lower_priority_workers =
-        kept < census->workers ? census->workers - (unsigned)kept : 0;
-    room->max_lower_priority_workers =
-        MAX(room->max_lower_priority_workers,
-            open_workers(owner, census, per_worker));
+    reserved = cw_headroom_reserved(&headroom->forecast) / per_worker;
+    headroom->max_lower_priority_workers =
+        reserved < census->workers ? census->workers - (unsigned)reserved : 0;
+    headroom->max_lower_priority_workers =
+        MAX(headroom->max_lower_priority_workers,
+            unguaranteed_workers(owner, census, per_worker));
 }
 
 void
 owner_headroom_job_accepted(struct cw_owner *owner,
                             const struct owner_job *job)
 {
-    struct owner_headroom *room = headroom_of(owner, job->spec->service);
+    struct owner_headroom *headroom = headroom_of(owner, job->spec->service);
 
     if (job->spec->priority != 0) {
         return;
@@ -127,13 +128,13 @@
     for (u_int i = 0; i < job->spec->steps.steps_len; i++) {
         const struct cw_step_spec *step = &job->spec->steps.steps_val[i];
 
-        cw_headroom_arrived(&room->forecast,
+        cw_headroom_arrived(&headroom->forecast,
                             (double)step->tasks * step->accelerators);
     }
 }
 
 static bool
-counts(const struct owner_target *target)
+accepts_work(const struct owner_target *target)
 {
     return target->listed && !target->draining && !target->superseded &&
            owner_target_accepts_work(target);
@@ -151,16 +152,16 @@
         const struct owner_target *target = value;
         struct census *census;
 
-        if (!counts(target)) {
+        if (!accepts_work(target)) {
             continue;
         }
         census = g_hash_table_lookup(services, target->service);
         if (census == NULL) {
             census = g_new0(struct census, 1);
-            census->room = headroom_of(owner, target->service);
+            census->headroom = headroom_of(owner, target->service);
             g_hash_table_insert(services, (gpointer)target->service, census);
         }
-        count_target(census, target);
+        census_add(census, target);
     }
     g_hash_table_iter_init(&iterator, services);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
@@ -184,7 +185,7 @@
     const struct owner_job *job = step->occurrence->job;
 
     return job->runs == 0 &&
-           cw_time_diff_ms(step->ready_at, now) > WAITED_MS &&
+           cw_time_diff_ms(step->ready_at, now) > EXEMPT_AFTER_MS &&
            headroom_of(owner, job->spec->service)->mostly_idle;
 }
 
@@ -193,42 +194,43 @@
                             const struct owner_step *step, const char *service,
                             struct timespec now)
 {
-    const struct owner_headroom *room = headroom_of(owner, service);
+    const struct owner_headroom *headroom = headroom_of(owner, service);
 
     if (owner_headroom_exempts(owner, step, now)) {
         return G_MAXUINT;
     }
-    return room->lower_priority_workers < room->max_lower_priority_workers
-               ? room->max_lower_priority_workers -
-                     room->lower_priority_workers
+    return headroom->lower_priority_workers <
+                   headroom->max_lower_priority_workers
+               ? headroom->max_lower_priority_workers -
+                     headroom->lower_priority_workers
                : 0;
 }
 
 void
 owner_headroom_borrowed(struct cw_owner *owner, const struct owner_run *run)
 {
-    struct owner_headroom *room = headroom_of(owner, run->target->service);
+    struct owner_headroom *headroom = headroom_of(owner, run->target->service);
 
-    room->headroom_borrowed += run->task->step->spec->accelerators;
-    room->free -= run->task->step->spec->accelerators;
+    headroom->headroom_borrowed += run->task->step->spec->accelerators;
+    headroom->free -= run->task->step->spec->accelerators;
 }
 
 void
 owner_headroom_returned(struct cw_owner *owner, const struct owner_run *run)
 {
-    struct owner_headroom *room = headroom_of(owner, run->target->service);
+    struct owner_headroom *headroom = headroom_of(owner, run->target->service);
 
-    room->headroom_borrowed -= run->task->step->spec->accelerators;
-    room->free += run->task->step->spec->accelerators;
+    headroom->headroom_borrowed -= run->task->step->spec->accelerators;
+    headroom->free += run->task->step->spec->accelerators;
 }
 
 int64_t
 owner_headroom_shortage(struct cw_owner *owner, const char *service)
 {
-    const struct owner_headroom *room = headroom_of(owner, service);
+    const struct owner_headroom *headroom = headroom_of(owner, service);
 
-    return (int64_t)cw_headroom_expected_arrivals(&room->forecast) -
-           room->free;
+    return (int64_t)cw_headroom_expected_arrivals(&headroom->forecast) -
+           headroom->free;
 }
 
 void
--- a/src/owner/owner_idle.c
+++ b/src/owner/owner_idle.c
@@ -1,49 +1,52 @@
-/* Work that could run and does not, whatever the cause.
+/* Idle jobs: detects work that could run and does not, whatever the cause.
  *
- * Looked at from the outside: a step's turn has come, no worker has listed a
- * run of the job for seconds, and by what workers have confirmed most of the
- * service's room is free, or, however full it is, twice what can only begin
- * together would fit.  What the owner believes of the job (a place, an order
- * under way, a lease to wait for, room kept for others) is the reason that is
- * logged, and does not hide it.  A task that loses one run after the other
- * makes no headway either, though it is at work each time that somebody
- * looks. */
+ * The check uses only what is visible from outside.  A step is unblocked, no
+ * worker has listed a run of the job for seconds, and by what workers have
+ * confirmed either most of the service's capacity is free, or the smallest
+ * part of the job that can run (a task, or its gang) would fit twice.  What
+ * the owner assumes about the job (a placement, an order in flight, a lease to
+ * wait for, reserved capacity) is only logged as the reason.
+ *
+ * A task that loses one run after another makes no progress either, although
+ * it is running at each check; such tasks are counted as repeating. */
 #include "owner/internal/owner_crashes.h"
 #include "owner/internal/owner_placement.h"
 #include "owner/internal/owner_spare.h"
 
 enum {
-    /* The platform bears 3 s in which nothing of a job runs, and 6 s after
-     * the last run of a task that lasts, whether others of its job run or
-     * not. */
-    WAITS_MS = 3000,
-    LASTING_MS = 6000,
-    LOOK_EVERY_MS = 250,
-    TELL_EVERY_MS = 3000,
-    /* Lines in one look; the counts are of all. */
-    TOLD_MOST = 8,
-    /* Two may be bad luck. */
-    REPEATS_FROM = 3
+    /* The platform tolerates 3 s in which no task of a job runs, */
+    IDLE_MAX_MS = 3000,
+    /* and 6 s after the last run of an endless task, whether other tasks of
+     * its job run or not. */
+    ENDLESS_IDLE_MAX_MS = 6000,
+    CHECK_INTERVAL_MS = 250,
+    LOG_INTERVAL_MS = 3000,
+    /* Limit on the jobs that one check logs; the statistics are of all. */
+    LOGGED_MAX = 8,
+    /* Lost runs in a row from which on a task counts as repeating; two may be
+     * a coincidence. */
+    REPEATING_FROM = 3
 };
 
-/* What a service's workers have, and what runs there by their own word. */
-struct room {
-    struct cw_resources has;
+/* Capacity of a service's workers, and what runs there use as reported. */
+struct service_load {
+    struct cw_resources capacity;
     struct cw_resources used;
 };
 
-/* One look at all jobs. */
-struct look {
+/* One check of all jobs. */
+struct check {
     struct cw_owner *owner;
     struct timespec now;
-    unsigned told;
-    const char *service; /* the one counted last */
+    unsigned logged;     /* jobs logged */
+    const char *service; /* that mostly_free was computed for */
     bool mostly_free;
     GArray *waiting; /* struct waiting */
     struct owner_spare *spare;
 };
 
-/* A step that has nothing running though it is its turn. */
+/* An unblocked step, of a job that has no run, or with an endless task that
+ * has none. */
 struct waiting {
     struct owner_step *step;
     int64_t waited_ms;
@@ -82,7 +85,7 @@
     struct timespec now = owner_now(owner);
     int64_t idle_ms = cw_time_diff_ms(job->idle.clock.since, now);
 
-    if (idle_ms > WAITS_MS) {
+    if (idle_ms > IDLE_MAX_MS) {
         cw_log_info(
             "job_resumed",
             "id=%s idle_ms=%" PRId64 " room_ms=%" PRId64 " after=%s runs=%u",
@@ -92,54 +95,55 @@
     cw_idle_begin(&job->idle.clock, now);
 }
 
-/* ---- room ---- */
+/* ---- capacity ---- */
 
 static void
-add_target(struct room *room, const struct owner_target *target)
+add_target(struct service_load *load, const struct owner_target *target)
 {
-    owner_resources_add(&room->has, &target->capacity);
-    owner_resources_add(&room->used, &target->orphans);
+    owner_resources_add(&load->capacity, &target->capacity);
+    owner_resources_add(&load->used, &target->orphans);
     for (guint i = 0; i < target->runs->len; i++) {
         const struct owner_run *run = target->runs->pdata[i];
         struct cw_resources need = owner_step_need(run->task->step->spec);
 
         if (run->phase == RUN_RUNNING) {
-            owner_resources_add(&room->used, &need);
+            owner_resources_add(&load->used, &need);
         }
     }
 }
 
 static bool
-is_mostly_free(struct look *look, const char *service)
+is_mostly_free(struct check *check, const char *service)
 {
-    struct cw_owner *owner = look->owner;
-    struct room room = {0};
+    struct cw_owner *owner = check->owner;
+    struct service_load load = {0};
     GHashTableIter iterator;
     gpointer value;
 
-    if (look->service == service) {
-        return look->mostly_free;
+    if (check->service == service) {
+        return check->mostly_free;
     }
     g_hash_table_iter_init(&iterator, owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct owner_target *target = value;
 
         if (target->service == service && target->listed) {
-            add_target(&room, target);
+            add_target(&load, target);
         }
     }
-    look->service = service;
-    look->mostly_free = 2 * room.used.accelerators < room.has.accelerators &&
-                        2 * room.used.cpu_milli < room.has.cpu_milli &&
-                        2 * room.used.memory_mb < room.has.memory_mb;
-    return look->mostly_free;
+    check->service = service;
+    check->mostly_free =
+        2 * load.used.accelerators < load.capacity.accelerators &&
+        2 * load.used.cpu_milli < load.capacity.cpu_milli &&
+        2 * load.used.memory_mb < load.capacity.memory_mb;
+    return check->mostly_free;
 }
 
 /* ---- jobs ---- */
 
-/* The first step that could run, or NULL. */
+/* Returns the first unblocked step, or NULL. */
 static struct owner_step *
-step_in_turn(const struct owner_job *job)
+first_unblocked_step(const struct owner_job *job)
 {
     for (guint i = 0; i < job->open->len; i++) {
         struct owner_occurrence *occurrence = job->open->pdata[i];
@@ -164,6 +168,8 @@
     return NULL;
 }
 
+/* Returns why the step does not run, as far as the owner knows, for the log.
+ */
 static const char *
 reason_of(const struct cw_owner *owner, const struct owner_step *step,
           const struct owner_run *run, struct timespec now)
@@ -177,7 +183,8 @@
     return owner_at_most_once_may_start(owner, step) ? "no_place" : "once";
 }
 
-/* The worker that a job waits for, as fields of a line. */
+/* Returns the log fields for the worker that a job waits for; NULL: none.
+ * Owned by the caller. */
 static char *
 describe_worker(const struct owner_target *target, struct timespec now)
 {
@@ -193,8 +200,8 @@
 }
 
 static void
-tell(struct cw_owner *owner, const struct waiting *waiting,
-     const struct owner_spare_fit *fit, struct timespec now)
+log_waiting(struct cw_owner *owner, const struct waiting *waiting,
+            const struct owner_spare_fit *fit, struct timespec now)
 {
     const struct owner_step *step = waiting->step;
     struct owner_job *job = step->occurrence->job;
@@ -223,7 +230,7 @@
 }
 
 static void
-count_repeating(struct owner_idle_stats *waits, const struct owner_job *job)
+count_repeating(struct owner_idle_stats *stats, const struct owner_job *job)
 {
     for (guint i = 0; i < job->open->len; i++) {
         const struct owner_occurrence *occurrence = job->open->pdata[i];
@@ -232,30 +239,30 @@
             const struct owner_step *step = &occurrence->steps[k];
 
             for (unsigned n = 0; !step->done && n < step->count; n++) {
-                waits->repeating += !step->tasks[n].done &&
-                                    step->tasks[n].lost_runs >= REPEATS_FROM;
+                stats->repeating += !step->tasks[n].done &&
+                                    step->tasks[n].lost_runs >= REPEATING_FROM;
             }
         }
     }
 }
 
 static bool
-is_at_work(const struct owner_task *task)
+is_running(const struct owner_task *task)
 {
     return task->run != NULL && task->run->phase == RUN_RUNNING;
 }
 
-/* For how long a task that lasts has not been at work; of the one that waits
- * longest. */
+/* Returns for how long an endless task of the step has had no run; the longest
+ * of them counts. */
 static int64_t
-lasting_waits_ms(const struct owner_step *step, struct timespec now)
+endless_idle_ms(const struct owner_step *step, struct timespec now)
 {
     int64_t longest_ms = 0;
 
     for (unsigned i = 0; i < step->count; i++) {
         const struct owner_task *task = &step->tasks[i];
 
-        if (!is_at_work(task) && task->idle_since.tv_sec > 0) {
+        if (!is_running(task) && task->idle_since.tv_sec > 0) {
             longest_ms =
                 MAX(longest_ms, cw_time_diff_ms(task->idle_since, now));
         }
@@ -264,104 +271,105 @@
 }
 
 static void
-note_waiting(struct look *look, struct owner_job *job)
+add_if_waiting(struct check *check, struct owner_job *job)
 {
     struct waiting waiting = {
-        .step = step_in_turn(job),
-        .waited_ms = cw_time_diff_ms(job->idle.clock.since, look->now)};
-    int64_t borne_ms = WAITS_MS;
+        .step = first_unblocked_step(job),
+        .waited_ms = cw_time_diff_ms(job->idle.clock.since, check->now)};
+    int64_t tolerated_ms = IDLE_MAX_MS;
 
-    count_repeating(&look->owner->waits, job);
+    count_repeating(&check->owner->waits, job);
     if (waiting.step != NULL && waiting.step->spec->endless &&
-        waiting.waited_ms <= WAITS_MS)
+        waiting.waited_ms <= IDLE_MAX_MS)
     {
-        waiting.waited_ms = lasting_waits_ms(waiting.step, look->now);
-        borne_ms = LASTING_MS;
+        waiting.waited_ms = endless_idle_ms(waiting.step, check->now);
+        tolerated_ms = ENDLESS_IDLE_MAX_MS;
     }
-    waiting.too_long = waiting.waited_ms > borne_ms;
-    if (waiting.step != NULL && waiting.waited_ms > LOOK_EVERY_MS) {
-        g_array_append_val(look->waiting, waiting);
+    waiting.too_long = waiting.waited_ms > tolerated_ms;
+    if (waiting.step != NULL && waiting.waited_ms > CHECK_INTERVAL_MS) {
+        g_array_append_val(check->waiting, waiting);
     }
 }
 
 static void
-look_at(struct look *look, const struct waiting *waiting)
+check_job(struct check *check, const struct waiting *waiting)
 {
-    struct owner_idle_stats *waits = &look->owner->waits;
+    struct owner_idle_stats *stats = &check->owner->waits;
     struct owner_job *job = waiting->step->occurrence->job;
 
-    bool has_room = owner_spare_fits_twice(look->spare, waiting->step) ||
-                    is_mostly_free(look, job->service);
+    bool has_capacity = owner_spare_fits_twice(check->spare, waiting->step) ||
+                        is_mostly_free(check, job->service);
 
-    cw_idle_check(&job->idle.clock, has_room, look->now);
-    if (!has_room || !waiting->too_long) {
+    cw_idle_check(&job->idle.clock, has_capacity, check->now);
+    if (!has_capacity || !waiting->too_long) {
         return;
     }
-    waits->jobs++;
-    waits->longest_ms = MAX(waits->longest_ms, waiting->waited_ms);
-    if (look->told < TOLD_MOST &&
-        cw_time_diff_ms(job->idle.logged_at, look->now) > TELL_EVERY_MS)
+    stats->jobs++;
+    stats->longest_ms = MAX(stats->longest_ms, waiting->waited_ms);
+    if (check->logged < LOGGED_MAX &&
+        cw_time_diff_ms(job->idle.logged_at, check->now) > LOG_INTERVAL_MS)
     {
         struct owner_spare_fit fit =
-            owner_spare_fit(look->spare, waiting->step);
+            owner_spare_fit(check->spare, waiting->step);
 
-        tell(look->owner, waiting, &fit, look->now);
-        look->told++;
+        log_waiting(check->owner, waiting, &fit, check->now);
+        check->logged++;
     }
 }
 
-/* The least demanding of those that wait. */
+/* Returns the lowest number of accelerators that a task of the waiting steps
+ * requires. */
 static uint32_t
-least_accelerators(const GArray *waiting)
+min_accelerators(const GArray *waiting)
 {
-    uint32_t least = UINT32_MAX;
+    uint32_t min = UINT32_MAX;
 
     for (guint i = 0; i < waiting->len; i++) {
         const struct waiting *row = &g_array_index(waiting, struct waiting, i);
 
-        least = MIN(least, row->step->spec->accelerators);
+        min = MIN(min, row->step->spec->accelerators);
     }
-    return least;
+    return min;
 }
 
 static void
-look_at_waiting(struct look *look)
+check_waiting(struct check *check)
 {
-    if (look->waiting->len == 0) {
+    if (check->waiting->len == 0) {
         return;
     }
-    look->spare = owner_spare_create(
-        look->owner, least_accelerators(look->waiting), look->now);
-    for (guint i = 0; i < look->waiting->len; i++) {
-        look_at(look, &g_array_index(look->waiting, struct waiting, i));
+    check->spare = owner_spare_create(
+        check->owner, min_accelerators(check->waiting), check->now);
+    for (guint i = 0; i < check->waiting->len; i++) {
+        check_job(check, &g_array_index(check->waiting, struct waiting, i));
     }
-    owner_spare_free(look->spare);
+    owner_spare_free(check->spare);
 }
 
 void
 owner_idle_tick(struct cw_owner *owner, struct timespec now)
 {
-    struct look look = {.owner = owner, .now = now};
+    struct check check = {.owner = owner, .now = now};
     GHashTableIter iterator;
     gpointer value;
 
     if (cw_time_before(now, owner->waits.due)) {
         return;
     }
-    owner->waits =
-        (struct owner_idle_stats){.due = cw_time_add_ms(now, LOOK_EVERY_MS)};
+    owner->waits = (struct owner_idle_stats){
+        .due = cw_time_add_ms(now, CHECK_INTERVAL_MS)};
     if (!owner_may_order(owner, now)) {
-        return; /* another VM may decide, and know better */
+        return; /* another VM may be the owner and have run the jobs */
     }
-    look.waiting = g_array_new(FALSE, FALSE, sizeof(struct waiting));
+    check.waiting = g_array_new(FALSE, FALSE, sizeof(struct waiting));
     g_hash_table_iter_init(&iterator, owner->jobs);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct owner_job *job = value;
 
         if (!cw_work_is_over(job->phase)) {
-            note_waiting(&look, value);
+            add_if_waiting(&check, value);
         }
     }
-    look_at_waiting(&look);
-    g_array_unref(look.waiting);
+    check_waiting(&check);
+    g_array_unref(check.waiting);
 }
--- a/src/owner/owner_moves.c
+++ b/src/owner/owner_moves.c
@@ -1,34 +1,35 @@
-/* Runs that the owner takes from their workers by its own judgement.
+/* Runs that the owner evicts from their workers although nothing forces it to.
  *
- * A gang that is stopped gives up the places of all its members and then waits
- * like one that has not begun.  So work that makes progress is only moved
- * where there is room for it elsewhere that is not kept for others. */
+ * A gang that is stopped frees the capacity of all its members and then waits
+ * like one that has not begun.  So work that makes progress is moved only if
+ * there is free capacity for it elsewhere that is not reserved for others. */
 #include "owner/internal/owner_candidates.h"
 #include "owner/internal/owner_placement.h"
 
-/* Tasks of the step that would fit on the worker, for a gang once its own
- * members have left it. */
+/* Returns how many tasks of the step would fit on the worker, for a gang once
+ * its own members there have ended. */
 static unsigned
-fits_there(const struct owner_step *step, struct owner_target *target)
+fits_on(const struct owner_step *step, struct owner_target *target)
 {
     struct cw_resources need = owner_step_need(step->spec);
-    struct cw_resources room = owner_free_resources(target);
+    struct cw_resources available = owner_free_resources(target);
 
     for (guint i = 0; i < target->runs->len; i++) {
         const struct owner_run *run = target->runs->pdata[i];
 
         if (step->spec->gang && run->task->step == step) {
-            owner_resources_add(&room, &need);
+            owner_resources_add(&available, &need);
         }
     }
-    return owner_limit_per_worker(step, target, owner_fit_count(&room, &need));
+    return owner_limit_per_worker(step, target,
+                                  owner_fit_count(&available, &need));
 }
 
-/* Tasks of the step that would fit there if the run left its worker for good,
- * with its gang. */
+/* Returns how many tasks of the step could be placed on the worker if the run,
+ * with its gang, were evicted.  The run's own worker does not count. */
 static unsigned
-fits_after(struct cw_owner *owner, const struct owner_run *run,
-           struct owner_target *target, struct timespec now)
+fits_if_evicted(struct cw_owner *owner, const struct owner_run *run,
+                struct owner_target *target, struct timespec now)
 {
     const struct owner_step *step = run->task->step;
 
@@ -39,20 +40,20 @@
     {
         return 0;
     }
-    return fits_there(step, target);
+    return fits_on(step, target);
 }
 
-/* True if what leaves with the run finds room elsewhere. */
+/* True if what would be evicted with the run fits on other workers. */
 static bool
 fits_elsewhere(struct cw_owner *owner, const struct owner_run *run,
                struct timespec now)
 {
     struct owner_step *step = run->task->step;
-    unsigned together = step->spec->gang ? step->count : 1;
+    unsigned tasks_together = step->spec->gang ? step->count : 1;
     bool needs_rack = owner_step_needs_rack(owner, step, now);
-    unsigned *racks =
+    unsigned *fits_by_rack =
         g_new0(unsigned, owner->rack_lower_priority_workers->len);
-    unsigned all = 0;
+    unsigned total_fits = 0;
     bool found = false;
     GHashTableIter iterator;
     gpointer value;
@@ -60,13 +61,14 @@
     g_hash_table_iter_init(&iterator, owner->targets);
     while (!found && g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct owner_target *target = value;
-        unsigned fits = fits_after(owner, run, target, now);
+        unsigned fits = fits_if_evicted(owner, run, target, now);
 
-        all += fits;
-        racks[target->rack_number] += fits;
-        found = (needs_rack ? racks[target->rack_number] : all) >= together;
+        total_fits += fits;
+        fits_by_rack[target->rack_number] += fits;
+        found = (needs_rack ? fits_by_rack[target->rack_number]
+                            : total_fits) >= tasks_together;
     }
-    g_free(racks);
+    g_free(fits_by_rack);
     return found;
 }
 
@@ -74,7 +76,7 @@
 owner_run_may_move(struct cw_owner *owner, const struct owner_run *run,
                    struct timespec now)
 {
-    /* Urgent work can make others leave. */
+    /* Urgent work can preempt other runs. */
     return owner_task_job(run->task)->spec->priority == 0 ||
            fits_elsewhere(owner, run, now);
 }
--- a/src/owner/owner_place.c
+++ b/src/owner/owner_place.c
@@ -1,4 +1,4 @@
-/* Which waiting task goes where. */
+/* The placement pass: assigns waiting tasks to workers. */
 #include "owner/internal/owner_candidates.h"
 #include "owner/internal/owner_placement.h"
 #include "owner/internal/owner_crashes.h"
@@ -6,24 +6,30 @@
 #include <string.h>
 
 enum {
-    /* A step that found no room looks again when some came free, and after
-     * this: what is kept for urgent work shrinks with time. */
-    TRY_AGAIN_MS = 250,
-    /* A gang that has waited so long gets a rack kept clear of work with a
-     * lower priority, as small tasks would fill every gap before it. */
-    HOLD_AFTER_MS = 1500,
-    /* Longer than any stop takes, shorter than reclaiming may. */
-    RESERVED_MS = 1500,
-    /* Racks change as workers come and go; to look for each waiting gang in
-     * each pass would walk all workers. */
-    RACKS_SEEN_MS = 500,
-    HOLDS_MOST = 2
+    /* A step that could not be placed is tried again when capacity has become
+     * free, and at this interval, as the headroom for urgent work shrinks with
+     * time. */
+    RETRY_INTERVAL_MS = 250,
+    /* A gang that has waited so long gets a rack reserved against work with a
+     * lower priority, which otherwise fills each gap with small tasks before
+     * the gang fits. */
+    RESERVE_RACK_AFTER_MS = 1500,
+    /* A reserved run is dropped after this time.  It is longer than any stop
+     * takes, and shorter than preemption may take. */
+    RESERVED_MAX_MS = 1500,
+    /* Whether a rack can hold a gang is checked again after this time, as
+     * workers are added and removed; a check for each waiting gang in each
+     * pass would iterate over all workers. */
+    RACK_CHECK_INTERVAL_MS = 500,
+    /* Racks that may be reserved in one pass. */
+    RACK_RESERVATIONS_MAX = 2
 };
 
-/* ---- assigning ---- */
+/* ---- assignment ---- */
 
+/* Returns a run number that none of the step's tasks has used. */
 static unsigned
-next_run(const struct owner_step *step)
+next_gang_run(const struct owner_step *step)
 {
     unsigned highest = 0;
 
@@ -34,7 +40,7 @@
 }
 
 static void
-log_placed(const struct owner_task *task, const struct owner_run *run)
+log_placement(const struct owner_task *task, const struct owner_run *run)
 {
     struct cw_task_name name = owner_task_name(task);
 
@@ -48,7 +54,7 @@
 owner_assign(struct cw_owner *owner, struct owner_step *step,
              const GArray *choices, enum run_phase phase)
 {
-    unsigned gang_run = next_run(step);
+    unsigned gang_run = next_gang_run(step);
     unsigned index = 0;
 
     for (guint i = 0; i < choices->len; i++) {
@@ -63,8 +69,8 @@
             if (task->run != NULL || task->done) {
                 continue;
             }
-            log_placed(task, owner_run_create(owner, task, choice->target,
-                                              phase, number));
+            log_placement(task, owner_run_create(owner, task, choice->target,
+                                                 phase, number));
             left--;
         }
     }
@@ -94,19 +100,19 @@
 
 /* ---- steps ---- */
 
-/* True if a rack could hold the whole gang if nothing else ran there. */
+/* True if the total capacity of some rack is enough for the whole gang. */
 static bool
 rack_can_hold(const struct cw_owner *owner, const struct owner_step *step)
 {
     struct cw_resources need = owner_step_need(step->spec);
-    unsigned *racks =
+    unsigned *fits_by_rack =
         g_new0(unsigned, owner->rack_lower_priority_workers->len);
     GHashTableIter iterator;
     gpointer value;
-    bool could = false;
+    bool can_hold = false;
 
     g_hash_table_iter_init(&iterator, owner->targets);
-    while (!could && g_hash_table_iter_next(&iterator, NULL, &value)) {
+    while (!can_hold && g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct owner_target *target = value;
         unsigned fits;
 
@@ -116,11 +122,11 @@
             continue;
         }
         fits = owner_fit_count(&target->capacity, &need);
-        racks[target->rack_number] += fits;
-        could = racks[target->rack_number] >= step->count;
+        fits_by_rack[target->rack_number] += fits;
+        can_hold = fits_by_rack[target->rack_number] >= step->count;
     }
-    g_free(racks);
-    return could;
+    g_free(fits_by_rack);
+    return can_hold;
 }
 
 bool
@@ -131,7 +137,7 @@
         return false;
     }
     if (step->rack_checked_at.tv_sec == 0 ||
-        cw_time_diff_ms(step->rack_checked_at, now) > RACKS_SEEN_MS)
+        cw_time_diff_ms(step->rack_checked_at, now) > RACK_CHECK_INTERVAL_MS)
     {
         step->rack_checked_at = now;
         step->rack_can_hold = rack_can_hold(owner, step);
@@ -146,12 +152,13 @@
     GArray *candidates = owner_candidates(owner, step, now);
     const char *rack = owner_best_rack(owner, candidates, step, step->count);
     GArray *choices = NULL;
-    bool spread = !owner_step_needs_rack(owner, step, now);
+    bool may_span_racks = !owner_step_needs_rack(owner, step, now);
 
     if (rack != NULL) {
         choices = owner_choose_targets(candidates, rack, step->count);
     }
-    else if (spread && owner_total_fit_count(candidates) >= step->count) {
+    else if (may_span_racks &&
+             owner_total_fit_count(candidates) >= step->count) {
         choices = owner_choose_by_dc(candidates, step->count);
     }
     if (choices != NULL) {
@@ -223,8 +230,8 @@
                             : owner_step_waiting_tasks(step) > 0;
 }
 
-/* Gives up places whose present users do not leave: the step is placed anew
- * among what is free then. */
+/* Drops reserved runs whose capacity has not been freed in time, so that their
+ * tasks are placed again in what is free by then. */
 static void
 drop_stale_reservations(struct cw_owner *owner, struct owner_step *step,
                         struct timespec now)
@@ -233,7 +240,7 @@
         struct owner_run *run = step->tasks[i].run;
 
         if (run != NULL && run->phase == RUN_RESERVED &&
-            cw_time_diff_ms(run->created_at, now) > RESERVED_MS)
+            cw_time_diff_ms(run->created_at, now) > RESERVED_MAX_MS)
         {
             cw_log_info("reservation_dropped", "id=%s step=%u worker=%s",
                         step->occurrence->job->spec->id, step->number,
@@ -268,7 +275,8 @@
     }
 }
 
-/* Most urgent priority first; within it, the earlier objective. */
+/* Orders steps by priority, the most urgent first, then by objective, the
+ * earliest first. */
 static gint
 by_urgency(gconstpointer a, gconstpointer b)
 {
@@ -295,7 +303,7 @@
 }
 
 static void
-reclaim_step(struct cw_owner *owner, struct owner_step *step,
+preempt_step(struct cw_owner *owner, struct owner_step *step,
              struct timespec now)
 {
     if (!owner_memo_has_failed(owner, step, OWNER_ATTEMPT_PREEMPT, now) &&
@@ -314,12 +322,12 @@
     if (!owner_step_needs_placement(step, now) ||
         !owner_order_window_allows(&owner->order_window, urgent))
     {
-        return; /* placed as starved; or with the next pass, or later */
+        return; /* placed as a starved step, or to be tried in a later pass */
     }
     if (step->tried_capacity_version == owner->capacity_version && !urgent &&
-        cw_time_diff_ms(step->tried_at, now) < TRY_AGAIN_MS)
+        cw_time_diff_ms(step->tried_at, now) < RETRY_INTERVAL_MS)
     {
-        return; /* nothing has come free since */
+        return; /* no capacity has become free since the last try */
     }
     if (!owner_at_most_once_may_start(owner, step)) {
         step->tried_capacity_version = owner->capacity_version;
@@ -337,13 +345,14 @@
     step->tried_capacity_version = owner->capacity_version;
     step->tried_at = now;
     if (urgent && owner_place_starved_step(owner, step, now)) {
-        return; /* else it could wait for others to leave for ever */
+        return; /* preemption alone could keep it waiting for ever */
     }
     if (urgent) {
-        reclaim_step(owner, step, now);
+        preempt_step(owner, step, now);
     }
-    else if (step->spec->gang && owner->rack_reservations < HOLDS_MOST &&
-             cw_time_diff_ms(step->ready_at, now) > HOLD_AFTER_MS)
+    else if (step->spec->gang &&
+             owner->rack_reservations < RACK_RESERVATIONS_MAX &&
+             cw_time_diff_ms(step->ready_at, now) > RESERVE_RACK_AFTER_MS)
     {
         owner_reserve_rack(owner, step, now);
     }
--- a/src/owner/owner_polls.c
+++ b/src/owner/owner_polls.c
@@ -1,4 +1,5 @@
-/* Leases kept up, and what the workers list of runs and ends. */
+/* Polls of workers: extends their leases, and processes the runs and the ends
+ * of runs that they list. */
 #include "owner/internal/owner_crashes.h"
 
 #include <string.h>
@@ -6,55 +7,62 @@
 #include "curlewcart/cw_stragglers.h"
 
 enum {
-    /* How long a hold waits at the worker for news.  Longer is cheaper; a
-     * lost answer costs this time and the timeout. */
-    HOLD_WAIT_MS = 1000,
-    /* With so many workers an owner is short of processor: as long as the
-     * workers allow. */
-    MANY_TARGETS = 1000,
-    HOLD_WAIT_MANY_MS = 1900,
-    HOLD_TIMEOUT_MS = 900,
-    HOLD_PACE_MS = 40,
-    /* ... while a start there has no answer: up to ten looks until the last
-     * try, each of them priced. */
-    HOLD_PACE_UNSURE_MS = 150,
-    HOLD_RETRY_MS = 300,
-    /* Looks without an answer after which places there are given up; a single
-     * one may be late. */
-    PLACES_SILENT = 2,
-    /* Ends are not durable yet: the lease is kept up at this pace. */
-    HOLD_BLOCKED_MS = 700,
+    /* How long a worker may delay its answer to a poll until it has something
+     * to report.  Longer is cheaper, but a lost answer costs this time and the
+     * timeout. */
+    POLL_WAIT_MS = 1000,
+    /* With more workers than this an owner is short of processor time, and
+     * the wait is as long as the workers allow. */
+    MANY_WORKERS = 1000,
+    POLL_WAIT_MANY_WORKERS_MS = 1900,
+    POLL_TIMEOUT_MS = 900,
+    /* Time from an answer to the next poll. */
+    POLL_INTERVAL_MS = 40,
+    /* The same while a start there has no answer: this makes up to ten polls
+     * until the last try of the start, each of which is charged for. */
+    POLL_INTERVAL_UNDECIDED_MS = 150,
+    POLL_RETRY_MS = 300,
+    /* Polls without an answer after which placements on the worker are given
+     * up; a single answer may be late. */
+    GIVE_UP_AFTER_POLLS = 2,
+    /* Interval of polls, which extend the lease, while listed ends are not
+     * durable yet. */
+    POLL_INTERVAL_BLOCKED_MS = 700,
     ENDS_LISTED_MAX = 500,
-    /* Workers that had runs lately, or may have had under an earlier owner,
-     * are looked at now and then: an order that was carried out late shows
-     * only there.  Orders are late by up to 12 s. */
-    IDLE_LOOK_MS = 2500,
-    IDLE_LOOKS_MS = 14000,
-    /* Looks at idle workers: so many a second, and at a time, at the most,
-     * however many workers there are.  A look costs about 0.2 ms. */
-    IDLE_LOOKS_PER_S = 150,
-    IDLE_LOOKS_MOST = 100,
-    IDLE_RETRY_MS = 20,
-    /* Ends are confirmed to a worker on the heels of an answer only.  One that
-     * crashes takes longer than this to be back with ends of its own. */
+    /* Workers that had runs lately, or may have had them under an earlier
+     * owner, are polled at this interval, as only a poll shows an order that
+     * was carried out late. */
+    IDLE_POLL_INTERVAL_MS = 2500,
+    /* For how long: orders are late by up to 12 s. */
+    IDLE_POLLS_FOR_MS = 14000,
+    /* Limits on polls of idle workers, per second and in flight, however many
+     * workers there are.  A poll costs about 0.2 ms. */
+    IDLE_POLLS_PER_S = 150,
+    IDLE_POLLS_MAX = 100,
+    IDLE_POLL_RETRY_MS = 20,
+    /* Ends are confirmed to a worker only within this time of its last answer.
+     * A worker that crashes takes longer to restart and list ends of its new
+     * incarnation. */
     CONFIRM_WITHIN_MS = 250
 };
 
-struct hold_call {
+/* A poll in flight. */
+struct poll_call {
     struct cw_owner *owner;
     unsigned term;
     struct owner_target *target;
     struct timespec sent;
-    bool idle;       /* a look at a worker without runs */
-    int64_t boot_ms; /* of the life that it was sent to, as far as known */
-    uint64_t acked;  /* ends that it confirms, up to this number */
+    bool idle;       /* the worker had no runs */
+    int64_t boot_ms; /* of the incarnation that it was sent to; 0 unknown */
+    uint64_t acked;  /* confirms ends up to this number */
 };
 
 /* ---- runs that are listed ---- */
 
+/* Applies what a worker has listed of a run. */
 static void
-note_progress(struct owner_run *run, const struct cw_running *listed,
-              struct timespec now)
+apply_progress(struct owner_run *run, const struct cw_running *listed,
+               struct timespec now)
 {
     if (run->phase == RUN_STARTING || run->phase == RUN_INHERITED) {
         run->phase = RUN_RUNNING;
@@ -73,14 +81,16 @@
     owner_crashes_observe(run, now);
     if (listed->saved[0] != '\0') {
         run->saved_at = now;
-        /* For a worker that is lost without another word. */
+        /* In case the worker is lost before it reports the run's end. */
         owner_task_save_checkpoint(run->task, listed->saved);
     }
 }
 
+/* Returns the run that the worker has listed, or NULL if it is not the present
+ * run of its task there. */
 static struct owner_run *
-listed_run(struct cw_owner *owner, struct owner_target *target,
-           const struct cw_running *listed)
+find_listed_run(struct cw_owner *owner, struct owner_target *target,
+                const struct cw_running *listed)
 {
     struct owner_task *task = owner_task_find(owner, &listed->task);
 
@@ -92,7 +102,7 @@
     return task->run;
 }
 
-/* What a run takes that is not in the books; the whole worker if its job is
+/* Returns the resources that an orphan uses; the whole worker's if its job is
  * not known any more. */
 static struct cw_resources
 orphan_need(const struct cw_owner *owner, const struct owner_target *target,
@@ -103,9 +113,9 @@
     return task != NULL ? owner_step_need(task->step->spec) : target->capacity;
 }
 
-/* Stops what runs there without being wanted: an order that was carried out
- * late, or a run that was given up on.  Until it has ended it takes room, and
- * a worker that does not guard its room would be brought over it. */
+/* Stops an orphan: a run whose start was carried out late, or that was given
+ * up.  Until it has ended it counts as using resources: a worker that does not
+ * enforce its capacity would be overloaded otherwise. */
 static void
 stop_orphan(struct cw_owner *owner, struct owner_target *target,
             const struct cw_running *listed)
@@ -139,10 +149,11 @@
     return false;
 }
 
-/* True if a run that the worker does not list cannot be there any more and
- * cannot come: it was confirmed, or stopped, or shut out, before the look. */
+/* True if a run that the worker does not list in its answer is not there and
+ * cannot start there any more: before the poll was sent, the run was confirmed
+ * or its stop was, or its earlier owner was fenced. */
 static bool
-absence_counts(const struct owner_run *run, struct timespec sent)
+absence_is_final(const struct owner_run *run, struct timespec sent)
 {
     switch (run->phase) {
     case RUN_INHERITED:
@@ -157,9 +168,9 @@
     }
 }
 
-/* True if an absent run may have been carried out all the same, in part: where
- * one that was not confirmed is absent, it was never begun, but only by the
- * life that answers. */
+/* True if an absent run may have done some of its work.  The absence of a run
+ * that was never confirmed shows only that the incarnation that answers has
+ * not begun it. */
 static bool
 may_have_worked(const struct owner_run *run, int64_t boot_ms)
 {
@@ -167,8 +178,9 @@
            (boot_ms > 0 && run->boot_ms != boot_ms);
 }
 
-/* Runs that the worker does not list and that cannot be there any more.  Those
- * that went with a former life of it are told from others: it has crashed. */
+/* Drops the runs that the worker does not list and that cannot be there any
+ * more.  Those that were sent to an earlier incarnation were lost in a crash
+ * of the worker. */
 static void
 drop_absent(struct cw_owner *owner, struct owner_target *target,
             const struct cw_target_answer *answer, struct timespec sent)
@@ -178,7 +190,7 @@
     for (guint i = 0; i < target->runs->len; i++) {
         struct owner_run *run = target->runs->pdata[i];
 
-        if (absence_counts(run, sent) && !is_listed(run, answer)) {
+        if (absence_is_final(run, sent) && !is_listed(run, answer)) {
             g_ptr_array_add(absent, run);
         }
     }
@@ -213,15 +225,17 @@
            target->orphans.memory_mb > 0;
 }
 
-/* Ends are numbered without gaps.  One that was never listed here and is not
- * listed now was confirmed to the worker by somebody who had not seen it. */
+/* Logs gaps in the numbers of ends, which are consecutive.  An end that was
+ * never listed to this owner and is not listed now was confirmed to the worker
+ * by an owner that had not received it. */
 static void
-note_missing_ends(struct cw_owner *owner, const struct owner_target *target,
-                  const struct cw_target_answer *answer)
+log_missing_ends(struct cw_owner *owner, const struct owner_target *target,
+                 const struct cw_target_answer *answer)
 {
     uint64_t first = answer->ended_count > 0 ? answer->ended[0].number : 0;
 
-    /* Earlier owners have confirmed what they had stored. */
+    /* Ends before the first that this owner has seen were stored and confirmed
+     * by earlier owners. */
     if (target->incarnation.ends_applied == 0 ||
         first <= target->incarnation.ends_applied + 1)
     {
@@ -236,26 +250,27 @@
 }
 
 static void
-take_lists(struct cw_owner *owner, struct owner_target *target,
-           const struct cw_target_answer *answer, struct timespec sent,
-           struct timespec now)
+apply_lists(struct cw_owner *owner, struct owner_target *target,
+            const struct cw_target_answer *answer, struct timespec sent,
+            struct timespec now)
 {
     bool had_orphans = has_orphans(target);
 
     target->orphans = (struct cw_resources){0};
     for (size_t i = 0; i < answer->running_count; i++) {
-        struct owner_run *run = listed_run(owner, target, &answer->running[i]);
+        struct owner_run *run =
+            find_listed_run(owner, target, &answer->running[i]);
 
         if (run != NULL) {
-            note_progress(run, &answer->running[i], now);
-            /* May stop the run's gang, but drops nothing that was sent. */
+            apply_progress(run, &answer->running[i], now);
+            /* May stop the run's gang, but drops no run that was sent. */
             owner_speed_observe(owner, run, answer->running[i].percent, now);
         }
         else {
             stop_orphan(owner, target, &answer->running[i]);
         }
     }
-    note_missing_ends(owner, target, answer);
+    log_missing_ends(owner, target, answer);
     for (size_t i = 0; i < answer->ended_count; i++) {
         const struct cw_ended *ended = &answer->ended[i];
 
@@ -291,7 +306,7 @@
     return true;
 }
 
-/* True if another member of the run's gang has yet to do its share. */
+/* True if another member of the run's gang is below 100 percent. */
 static bool
 gang_is_unfinished(const struct owner_run *run)
 {
@@ -346,15 +361,15 @@
                     run->number, target->id, run->percent);
         owner_target_add_failure(target, run->task, now);
         owner_run_evict_for(owner, run, OWNER_IDLE_STALLED);
-        return; /* the table of runs may have changed */
+        return; /* `runs` may have changed */
     }
 }
 
-/* ---- holds ---- */
+/* ---- polls ---- */
 
 static void
-log_place_given_up(const struct cw_owner *owner, const struct owner_run *run,
-                   struct timespec now)
+log_placement_abandoned(const struct cw_owner *owner,
+                        const struct owner_run *run, struct timespec now)
 {
     struct cw_task_name name = owner_task_name(run->task);
 
@@ -368,7 +383,7 @@
 }
 
 static void
-hold_failed(struct owner_target *target, enum cw_target_status status,
+poll_failed(struct owner_target *target, enum cw_target_status status,
             struct timespec now)
 {
     if (target->unanswered_polls == 0) {
@@ -378,16 +393,19 @@
         owner_incarnation_unresponsive(target);
     }
     target->unanswered_polls++;
-    target->poll_due = cw_time_add_ms(now, HOLD_RETRY_MS);
+    target->poll_due = cw_time_add_ms(now, POLL_RETRY_MS);
     owner_incarnation_poll_failed(target);
-    if (target->unanswered_polls == PLACES_SILENT) {
-        owner_unsent_runs_give_up(target->owner, target, log_place_given_up);
+    if (target->unanswered_polls == GIVE_UP_AFTER_POLLS) {
+        owner_unsent_runs_give_up(target->owner, target,
+                                  log_placement_abandoned);
     }
 }
 
-/* The life that the look was sent to has answered it. */
+/* Records which ends the poll has confirmed, if the incarnation that it was
+ * sent to has answered it. */
 static void
-note_confirmed(struct owner_target *target, const struct hold_call *call)
+record_confirmed_ends(struct owner_target *target,
+                      const struct poll_call *call)
 {
     if (target->incarnation.boot_ms == call->boot_ms) {
         target->incarnation.ends_confirmed =
@@ -395,9 +413,9 @@
     }
 }
 
-/* True if the next look tells what becomes of a run, and perhaps of its gang:
- * whether a start without an answer was carried out, and whether a run that
- * was stopped before it was confirmed had begun. */
+/* True if the next poll decides what happens to a run, and perhaps to its
+ * gang: it shows whether a start without an answer was carried out, or whether
+ * a run that was stopped before it was confirmed had begun. */
 static bool
 decides_runs(const struct owner_target *target)
 {
@@ -413,7 +431,7 @@
 }
 
 static void
-hold_answered(struct cw_owner *owner, struct hold_call *call,
+poll_answered(struct cw_owner *owner, struct poll_call *call,
               const struct cw_target_answer *answer, struct timespec now)
 {
     struct owner_target *target = call->target;
@@ -425,7 +443,7 @@
         owner->placement_wanted = true;
     }
     if (!owner_incarnation_answered(target, answer->boot_ms)) {
-        note_confirmed(target, call);
+        record_confirmed_ends(target, call);
     }
     owner_crashes_answered(owner, target, answer->boot_ms);
     owner_target_set_clock(target, answer->clock_ms, now);
@@ -433,20 +451,21 @@
     target->answered = true;
     target->answered_poll_sent_at = call->sent;
     target->incarnation.poll_answered_at = now;
-    /* Where a note is dropped, a look follows at once when that is stored. */
+    /* While there is a lease note, the short interval is not needed: the
+     * worker is polled at once when its removal is stored. */
     target->poll_due =
         cw_time_add_ms(now, decides_runs(target) ||
                                     target->lease_note != OWNER_LEASE_NOTE_NONE
-                                ? HOLD_PACE_UNSURE_MS
-                                : HOLD_PACE_MS);
-    take_lists(owner, target, answer, call->sent, now);
+                                ? POLL_INTERVAL_UNDECIDED_MS
+                                : POLL_INTERVAL_MS);
+    apply_lists(owner, target, answer, call->sent, now);
     check_stalls(owner, target, now);
 }
 
 static void
-on_hold(void *context, const struct cw_target_answer *answer)
+on_poll(void *context, const struct cw_target_answer *answer)
 {
-    struct hold_call *call = context;
+    struct poll_call *call = context;
     struct cw_owner *owner = call->owner;
     struct owner_target *target = call->target;
     struct timespec now = owner_now(owner);
@@ -460,7 +479,7 @@
     owner->idle_polls_in_flight -= call->idle;
     switch (answer->status) {
     case CW_TARGET_OK:
-        hold_answered(owner, call, answer, now);
+        poll_answered(owner, call, answer, now);
         break;
     case CW_TARGET_FENCED:
         owner_drop_ownership(owner, "fenced_by_worker");
@@ -470,17 +489,18 @@
         owner_target_lost(owner, target, "other_life");
         break;
     default:
-        hold_failed(target, answer->status, now);
+        poll_failed(target, answer->status, now);
         break;
     }
     g_free(call);
 }
 
 static unsigned
-hold_wait_ms(const struct cw_owner *owner)
+poll_wait_max_ms(const struct cw_owner *owner)
 {
-    return g_hash_table_size(owner->targets) > MANY_TARGETS ? HOLD_WAIT_MANY_MS
-                                                            : HOLD_WAIT_MS;
+    return g_hash_table_size(owner->targets) > MANY_WORKERS
+               ? POLL_WAIT_MANY_WORKERS_MS
+               : POLL_WAIT_MS;
 }
 
 static bool
@@ -490,13 +510,14 @@
            target->incarnation.ends_confirmed;
 }
 
-/* The number up to which the next look confirms ends.
+/* Returns the number up to which the next poll confirms ends.
  *
- * A worker that has started again under its id counts from 1, and forgets ends
- * of its own if it is told a number of its former life's: they would be lost,
- * and their tasks run again.  So each end is confirmed in one look, not in all
- * that follow, and only while the life that has listed it was heard just now;
- * after a silence the look goes without. */
+ * A worker that has restarted under its id counts its ends from 1 again.  If
+ * it received a number that is meant for its former incarnation, it would
+ * forget ends of the new one: they would be lost, and their tasks would run
+ * again.  So each end is confirmed in only one poll, and only shortly after an
+ * answer of the incarnation that has listed it.  The first poll after one
+ * without an answer confirms no ends. */
 static uint64_t
 number_to_confirm(const struct owner_target *target, struct timespec now)
 {
@@ -512,12 +533,13 @@
     return incarnation->ends_durable;
 }
 
-/* A first look, one after a silence, one that decides what becomes of a run,
- * and one before ends are confirmed want an answer now.  A gang that had been
- * stopped stood still for 1.0 s more for a look that waited at the worker of a
- * member that never was. */
+/* Returns how long the worker may delay its answer.  It has to answer at once
+ * to a first poll, one after a poll without an answer, one that decides what
+ * happens to a run, and one before ends are confirmed.  Otherwise a gang that
+ * had been stopped was idle for 1.0 s longer, as the poll waited at the worker
+ * of a member that had never been started. */
 static unsigned
-look_wait_ms(const struct cw_owner *owner, const struct owner_target *target,
+poll_wait_ms(const struct cw_owner *owner, const struct owner_target *target,
              uint64_t acked)
 {
     const struct owner_incarnation *incarnation = &target->incarnation;
@@ -525,24 +547,26 @@
                    (has_unconfirmed(target) && acked == 0);
     bool waits = target->runs->len > 0 || has_orphans(target);
 
-    /* Without an extended lease it has no time to wait. */
+    /* While there is a lease note, polls don't extend the lease, and the
+     * worker has no time to wait. */
     return blocked || !target->answered || target->unanswered_polls > 0 ||
                    !waits || target->lease_note != OWNER_LEASE_NOTE_NONE ||
                    decides_runs(target)
                ? 0
-               : hold_wait_ms(owner);
+               : poll_wait_max_ms(owner);
 }
 
 static void
-send_hold(struct cw_owner *owner, struct owner_target *target,
+send_poll(struct cw_owner *owner, struct owner_target *target,
           struct timespec now)
 {
-    struct hold_call *call = g_new0(struct hold_call, 1);
+    struct poll_call *call = g_new0(struct poll_call, 1);
     uint64_t acked = number_to_confirm(target, now);
-    unsigned wait_ms = look_wait_ms(owner, target, acked);
-    /* A first look extends no lease: if it is over, the worker has to notice,
-     * so that an earlier owner's word on lost runs holds.  Nor does one after
-     * a silence, as another life may answer. */
+    unsigned wait_ms = poll_wait_ms(owner, target, acked);
+    /* A first poll extends no lease: if the lease has expired, the worker has
+     * to notice that, as an earlier owner may have declared its runs lost.
+     * Neither does a poll after one without an answer, as another incarnation
+     * may answer it. */
     bool extends = target->answered && target->unanswered_polls == 0 &&
                    target->lease_note == OWNER_LEASE_NOTE_NONE &&
                    !owner_tombstone_pending(target);
@@ -555,8 +579,8 @@
             extends ? owner_lease_grant(target, CW_ORDER_POLL, now) : 0,
         .acked = acked,
         .wait_ms = wait_ms,
-        .timeout_ms = wait_ms + HOLD_TIMEOUT_MS,
-        .done = on_hold,
+        .timeout_ms = wait_ms + POLL_TIMEOUT_MS,
+        .done = on_poll,
         .context = call,
     };
 
@@ -577,14 +601,15 @@
 may_have_orphans(const struct owner_target *target, struct timespec now)
 {
     return cw_time_diff_ms(target->owner->takeover_began_at, now) <
-               IDLE_LOOKS_MS ||
+               IDLE_POLLS_FOR_MS ||
            (target->last_busy_at.tv_sec > 0 &&
-            cw_time_diff_ms(target->last_busy_at, now) < IDLE_LOOKS_MS);
+            cw_time_diff_ms(target->last_busy_at, now) < IDLE_POLLS_FOR_MS);
 }
 
-/* True if work may be sent there: its service is one that is configured. */
+/* True if work may be sent to the worker: it is listed, and its service is
+ * configured. */
 static bool
-is_of_use(const struct owner_target *target)
+may_get_work(const struct owner_target *target)
 {
     const struct cw_routing *routing = target->owner->routing;
 
@@ -594,12 +619,12 @@
 }
 
 static bool
-wants_hold(const struct owner_target *target, struct timespec now)
+needs_poll(const struct owner_target *target, struct timespec now)
 {
     if (target->superseded || target->address[0] == '\0') {
         return false;
     }
-    if (is_of_use(target) &&
+    if (may_get_work(target) &&
         (!target->incarnation.clock_known || !target->answered ||
          may_have_orphans(target, now)))
     {
@@ -610,26 +635,27 @@
                target->incarnation.ends_in_batch ||
            target->incarnation.ends_in_batch >
                target->incarnation.ends_durable ||
-           /* One that has left for good is not asked for ever. */
+           /* A worker that was removed for good is not polled for ever. */
            (has_unconfirmed(target) &&
             (target->listed || target->unanswered_polls == 0)) ||
-           (target->unanswered_polls > 0 && is_of_use(target));
+           (target->unanswered_polls > 0 && may_get_work(target));
 }
 
-/* Time between two looks at an idle worker. */
+/* Returns the interval of polls of an idle worker. */
 static int64_t
-idle_look_ms(const struct cw_owner *owner)
+idle_poll_interval_ms(const struct cw_owner *owner)
 {
     int64_t all_ms = (int64_t)g_hash_table_size(owner->targets) * CW_MS_PER_S /
-                     IDLE_LOOKS_PER_S;
+                     IDLE_POLLS_PER_S;
 
-    return MAX(IDLE_LOOK_MS, all_ms);
+    return MAX(IDLE_POLL_INTERVAL_MS, all_ms);
 }
 
-/* The lease has passed without being extended.  A worker that still answers
- * is asked what became of its runs; one that does not has lost them. */
+/* Handles the end of a lease that was not extended.  A worker that still
+ * answers is polled for the state of its runs; the runs on a worker that does
+ * not answer are lost. */
 static void
-lease_over(struct cw_owner *owner, struct owner_target *target)
+on_lease_expired(struct cw_owner *owner, struct owner_target *target)
 {
     bool answers = target->unanswered_polls == 0 && target->address[0] != '\0';
 
@@ -638,38 +664,39 @@
     }
     else if (cw_time_before(target->answered_poll_sent_at, target->lease_end))
     {
-        target->answered = false; /* the next hold is a first look */
+        target->answered = false; /* the next poll is a first one */
         target->poll_due = cw_time_from_ms(0);
     }
 }
 
-/* Sends a look if one is due; returns when it wants to be called next. */
+/* Polls the worker if that is due; returns when it wants to be called next. */
 static struct timespec
-look_tick(struct cw_owner *owner, struct owner_target *target,
+poll_tick(struct cw_owner *owner, struct owner_target *target,
           struct timespec now)
 {
     struct timespec due = target->poll_due;
 
-    if (target->poll_in_flight || !wants_hold(target, now) ||
+    if (target->poll_in_flight || !needs_poll(target, now) ||
         !owner_may_extend_leases(owner, now))
     {
         return cw_time_from_ms(INT32_MAX);
     }
     if (target->runs->len == 0 &&
-        owner->idle_polls_in_flight >= IDLE_LOOKS_MOST) {
-        return cw_time_add_ms(now, IDLE_RETRY_MS);
+        owner->idle_polls_in_flight >= IDLE_POLLS_MAX) {
+        return cw_time_add_ms(now, IDLE_POLL_RETRY_MS);
     }
     if (target->runs->len == 0 && target->unanswered_polls == 0 &&
         target->answered && !has_orphans(target) && !has_unconfirmed(target))
     {
-        due = cw_time_add_ms(target->poll_sent_at, idle_look_ms(owner));
+        due =
+            cw_time_add_ms(target->poll_sent_at, idle_poll_interval_ms(owner));
     }
     if (target->incarnation.ends_applied > target->incarnation.ends_durable) {
-        /* Without it the worker would answer at once with the same ends. */
-        due = cw_time_add_ms(target->poll_sent_at, HOLD_BLOCKED_MS);
+        /* The worker would answer at once with the same ends. */
+        due = cw_time_add_ms(target->poll_sent_at, POLL_INTERVAL_BLOCKED_MS);
     }
     if (!cw_time_before(now, due)) {
-        send_hold(owner, target, now);
+        send_poll(owner, target, now);
         return cw_time_from_ms(INT32_MAX);
     }
     return due;
@@ -684,9 +711,9 @@
     if (cw_time_before(target->lease_end, now) &&
         owner_target_has_ordered_run(target))
     {
-        lease_over(owner, target);
+        on_lease_expired(owner, target);
     }
-    next = look_tick(owner, target, now);
+    next = poll_tick(owner, target, now);
     if (!cw_time_before(target->lease_end, now) &&
         owner_target_has_ordered_run(target))
     {
--- a/src/owner/owner_preempt.c
+++ b/src/owner/owner_preempt.c
@@ -1,51 +1,54 @@
-/* Making room for urgent work: who gives way, at the least cost. */
+/* Preemption: stops runs, at the lowest cost, to free capacity for urgent
+ * work. */
 #include "owner/internal/owner_placement.h"
 
 #include <string.h>
 
 enum {
-    /* What a lost accelerator-second weighs against a core-second. */
-    ACCELERATOR_CORES = 8,
+    /* Core-seconds that a lost accelerator-second counts as. */
+    CORES_PER_ACCELERATOR = 8,
     MILLI = 1000,
-    /* A restart loses about so much beside the work since the checkpoint. */
-    RESTART_MS = 300,
-    /* Core-seconds added for equally urgent work: it is stopped only where
-     * no lower work is left that would do. */
-    EQUALLY_URGENT_COST = 1000000
+    /* Work that a restart loses, approximately, beside the work since the
+     * checkpoint. */
+    RESTART_LOST_MS = 300,
+    /* Added to the cost of equally urgent work, so that it is preempted only
+     * where no lower-priority work would be enough. */
+    EQUAL_PRIORITY_COST_CORE_S = 1000000
 };
 
-/* What may be stopped only together: a gang, or one task. */
+/* Runs that have to be stopped together: a gang, or one task. */
 struct victim {
     struct owner_step *step;
-    struct owner_run *run; /* NULL: the whole gang */
+    struct owner_run *run; /* a run of the gang, or the single task's */
     double cost;           /* core-seconds that are lost */
 };
 
-/* What one more task costs on a worker, as the plan stands. */
+/* The cost of one more task on a worker, with the plan so far. */
 struct price {
     struct owner_target *target;
-    bool fresh;      /* nothing there has been planned away since */
-    unsigned fits;   /* tasks, once all that is planned has left */
-    GArray *victims; /* struct victim, cheapest first */
-    unsigned taken;  /* of them, for one more task */
-    double cost;     /* negative: it cannot be had */
+    bool fresh;              /* no run there was added to the plan since */
+    unsigned fits;           /* tasks that fit once the plan is carried out */
+    GArray *victims;         /* struct victim, cheapest first */
+    unsigned victims_needed; /* how many of them one more task requires */
+    double cost;             /* negative: no more task can be made to fit */
 };
 
-/* A plan for one set of workers while it is made. */
+/* A plan for one set of workers. */
 struct plan {
     struct cw_owner *owner;
     const struct owner_step *step;
     struct cw_resources need;
-    bool guaranteed;    /* the step's account is within its guarantee */
-    GHashTable *gone;   /* struct owner_run, a set */
-    GPtrArray *gangs;   /* struct owner_step to stop whole */
-    GPtrArray *singles; /* struct owner_run */
+    bool guaranteed;     /* the step's account is within its guarantee */
+    GHashTable *planned; /* set of struct owner_run: all that are stopped */
+    GPtrArray *gangs;    /* struct owner_step: gangs to stop */
+    GPtrArray *singles;  /* struct owner_run: single tasks to stop */
     double cost;
-    GArray *prices;     /* struct price, a worker each */
-    GHashTable *places; /* struct owner_target -> 1 + index in `prices` */
+    GArray *prices; /* struct price, one for each worker */
+    /* struct owner_target -> 1 + index in `prices` */
+    GHashTable *price_positions;
 };
 
-/* ---- who may be stopped ---- */
+/* ---- runs that may be preempted ---- */
 
 static uint64_t
 accelerators_of(const struct cw_work_spec *spec)
@@ -97,19 +100,20 @@
                                   account->guaranteed_accelerators;
 }
 
-/* True if the run, or another member of its gang, must not be stopped. */
+/* True if the run or another member of its gang belongs to at-most-once work
+ * that may have begun, and so must not be stopped. */
 static bool
 step_is_protected(const struct owner_run *run)
 {
     const struct owner_step *step = run->task->step;
-    bool protects = owner_at_most_once_protects(run);
+    bool is_protected = owner_at_most_once_protects(run);
 
-    for (unsigned i = 0; step->spec->gang && !protects && i < step->count; i++)
-    {
-        protects = step->tasks[i].run != NULL &&
-                   owner_at_most_once_protects(step->tasks[i].run);
+    for (unsigned i = 0; step->spec->gang && !is_protected && i < step->count;
+         i++) {
+        is_protected = step->tasks[i].run != NULL &&
+                       owner_at_most_once_protects(step->tasks[i].run);
     }
-    return protects;
+    return is_protected;
 }
 
 bool
@@ -118,10 +122,11 @@
     return !run->stopping && !run->gang_done && !step_is_protected(run);
 }
 
-/* Lower work gives way; equally urgent work does only if its account holds
- * more than it is guaranteed and the step's account does not. */
+/* Lower-priority jobs may be preempted.  A job of the same priority may be
+ * preempted only if its account uses more than its guarantee and the step's
+ * account is within its own. */
 static bool
-gives_way(const struct plan *plan, const struct owner_job *job)
+outranked_by_plan(const struct plan *plan, const struct owner_job *job)
 {
     unsigned priority = plan->step->occurrence->job->spec->priority;
 
@@ -134,8 +139,8 @@
 may_stop(const struct plan *plan, const struct owner_run *run)
 {
     return owner_run_may_be_stopped(run) &&
-           gives_way(plan, owner_task_job(run->task)) &&
-           !owner_endless_protects(run, plan->gone);
+           outranked_by_plan(plan, owner_task_job(run->task)) &&
+           !owner_endless_protects(run, plan->planned);
 }
 
 double
@@ -143,8 +148,8 @@
 {
     const struct cw_step_spec *spec = run->task->step->spec;
     double cores = (double)spec->cpu_milli / MILLI +
-                   (double)spec->accelerators * ACCELERATOR_CORES;
-    int64_t lost_ms = RESTART_MS;
+                   (double)spec->accelerators * CORES_PER_ACCELERATOR;
+    int64_t lost_ms = RESTART_LOST_MS;
 
     if (run->phase == RUN_RUNNING) {
         lost_ms += cw_time_diff_ms(
@@ -190,23 +195,23 @@
     plan->step = step;
     plan->need = owner_step_need(step->spec);
     plan->guaranteed = owner_job_is_guaranteed(owner, step->occurrence->job);
-    plan->gone = g_hash_table_new(NULL, NULL);
+    plan->planned = g_hash_table_new(NULL, NULL);
     plan->gangs = g_ptr_array_new();
     plan->singles = g_ptr_array_new();
     plan->cost = 0;
     plan->prices = g_array_new(FALSE, TRUE, sizeof(struct price));
     g_array_set_clear_func(plan->prices, price_clear);
-    plan->places = g_hash_table_new(NULL, NULL);
+    plan->price_positions = g_hash_table_new(NULL, NULL);
 }
 
 static void
 plan_clear(struct plan *plan)
 {
-    g_hash_table_unref(plan->gone);
+    g_hash_table_unref(plan->planned);
     g_ptr_array_unref(plan->gangs);
     g_ptr_array_unref(plan->singles);
     g_array_unref(plan->prices);
-    g_hash_table_unref(plan->places);
+    g_hash_table_unref(plan->price_positions);
 }
 
 static void
@@ -217,30 +222,31 @@
     owner_resources_add(sum, &need);
 }
 
-/* Room once all that is stopping, or planned to be, has left. */
+/* Returns what is free on the worker once all runs that are stopping, or are
+ * in the plan, have ended. */
 static struct cw_resources
-room_after(const struct plan *plan, const struct owner_target *target)
+free_after(const struct plan *plan, const struct owner_target *target)
 {
-    struct cw_resources room = owner_free_resources(target);
+    struct cw_resources available = owner_free_resources(target);
 
-    owner_resources_add(&room, &target->leaving);
+    owner_resources_add(&available, &target->leaving);
     for (guint i = 0; i < target->runs->len; i++) {
         const struct owner_run *run = target->runs->pdata[i];
 
-        if (!run->stopping && g_hash_table_contains(plan->gone, run)) {
-            add_need(&room, run);
+        if (!run->stopping && g_hash_table_contains(plan->planned, run)) {
+            add_need(&available, run);
         }
     }
-    return room;
+    return available;
 }
 
 static unsigned
 fits_after(const struct plan *plan, const struct owner_target *target)
 {
-    struct cw_resources room = room_after(plan, target);
+    struct cw_resources available = free_after(plan, target);
 
     return owner_limit_per_worker(plan->step, target,
-                                  owner_fit_count(&room, &plan->need));
+                                  owner_fit_count(&available, &plan->need));
 }
 
 static gint
@@ -252,8 +258,9 @@
     return x->cost < y->cost ? -1 : x->cost > y->cost;
 }
 
-/* Each victim is judged as if it left alone: of a step that promises how many
- * tasks are away at most, one is enough at a time. */
+/* may_stop checks each victim as if it alone were stopped.  So for a step that
+ * limits how many of its tasks may be unavailable at a time, only one victim
+ * is listed. */
 static bool
 has_victim_of(const GArray *victims, const struct owner_step *step)
 {
@@ -275,7 +282,8 @@
         struct owner_run *run = target->runs->pdata[i];
         struct victim victim = {.step = run->task->step, .run = run};
 
-        if (may_stop(plan, run) && !g_hash_table_contains(plan->gone, run) &&
+        if (may_stop(plan, run) &&
+            !g_hash_table_contains(plan->planned, run) &&
             (run->task->step->spec->may_miss == 0 ||
              !has_victim_of(victims, run->task->step)))
         {
@@ -283,7 +291,7 @@
             if (owner_task_job(run->task)->spec->priority ==
                 plan->step->occurrence->job->spec->priority)
             {
-                victim.cost += EQUALLY_URGENT_COST;
+                victim.cost += EQUAL_PRIORITY_COST_CORE_S;
             }
             g_array_append_val(victims, victim);
         }
@@ -292,11 +300,11 @@
     return victims;
 }
 
-/* Finds the cheapest victims for one more task on the worker. */
+/* Finds the cheapest victims that make one more task fit on the worker. */
 static void
-find_cost(const struct plan *plan, struct price *price)
+price_next_task(const struct plan *plan, struct price *price)
 {
-    struct cw_resources room = room_after(plan, price->target);
+    struct cw_resources available = free_after(plan, price->target);
     double cost = 0;
 
     price->cost = -1;
@@ -304,13 +312,13 @@
         const struct victim *v =
             &g_array_index(price->victims, struct victim, i);
 
-        add_need(&room, v->run);
+        add_need(&available, v->run);
         cost += v->cost;
         if (owner_limit_per_worker(plan->step, price->target,
-                                   owner_fit_count(&room, &plan->need)) >
+                                   owner_fit_count(&available, &plan->need)) >
             price->fits)
         {
-            price->taken = i + 1;
+            price->victims_needed = i + 1;
             price->cost = cost;
             return;
         }
@@ -327,7 +335,7 @@
     price->fresh = true;
     price->fits = fits_after(plan, price->target);
     price->victims = victims_on(plan, price->target, now);
-    find_cost(plan, price);
+    price_next_task(plan, price);
 }
 
 static struct price *
@@ -336,27 +344,28 @@
     return &g_array_index(plan->prices, struct price, index);
 }
 
-/* Something on the worker is planned away: what it costs there is not known
- * any more. */
+/* Marks the worker's price as outdated, as a run there was added to the plan.
+ */
 static void
-outdate(struct plan *plan, const struct owner_target *target)
+outdate_price(struct plan *plan, const struct owner_target *target)
 {
-    guint place = GPOINTER_TO_UINT(g_hash_table_lookup(plan->places, target));
+    guint position =
+        GPOINTER_TO_UINT(g_hash_table_lookup(plan->price_positions, target));
 
-    if (place > 0) {
-        price_at(plan, place - 1)->fresh = false;
+    if (position > 0) {
+        price_at(plan, position - 1)->fresh = false;
     }
 }
 
 static void
 take_run(struct plan *plan, struct owner_run *run)
 {
-    g_hash_table_add(plan->gone, run);
-    outdate(plan, run->target);
+    g_hash_table_add(plan->planned, run);
+    outdate_price(plan, run->target);
 }
 
 static void
-mark_gone(struct plan *plan, const struct victim *victim)
+add_victim(struct plan *plan, const struct victim *victim)
 {
     if (!victim->step->spec->gang) {
         take_run(plan, victim->run);
@@ -372,7 +381,8 @@
             }
         }
     }
-    /* Who of such a step may leave depends on who else does, anywhere. */
+    /* Which tasks of such a step may be stopped depends on how many others are
+     * stopped on all workers. */
     for (guint i = 0;
          victim->step->spec->may_miss > 0 && i < plan->prices->len; i++)
     {
@@ -380,13 +390,14 @@
     }
 }
 
-/* Adds the cheapest victims for one more task; false if there are none. */
+/* Adds the cheapest victims for one more task to the plan; false if there are
+ * none. */
 static bool
-make_one_more(struct plan *plan)
+add_victims(struct plan *plan)
 {
     const struct price *best = NULL;
     GArray *victims;
-    unsigned taken;
+    unsigned victims_needed;
 
     for (guint i = 0; i < plan->prices->len; i++) {
         const struct price *price = price_at(plan, i);
@@ -399,17 +410,17 @@
         return false;
     }
     victims = g_array_ref(best->victims);
-    taken = best->taken;
-    for (unsigned i = 0; i < taken; i++) {
-        mark_gone(plan, &g_array_index(victims, struct victim, i));
+    victims_needed = best->victims_needed;
+    for (unsigned i = 0; i < victims_needed; i++) {
+        add_victim(plan, &g_array_index(victims, struct victim, i));
     }
     g_array_unref(victims);
     return true;
 }
 
-/* Tasks that fit, once all that is planned has left. */
+/* Returns how many tasks fit once the plan is carried out. */
 static unsigned
-total_after(struct plan *plan, struct timespec now)
+total_fits_after(struct plan *plan, struct timespec now)
 {
     unsigned fits = 0;
 
@@ -420,9 +431,10 @@
     return fits;
 }
 
-/* A worker is priced again only when something there was planned away: to
- * price all 1,100 anew for each task of a gang of 8 took 17.5 ms, this takes
- * 3.7 (3,000 workers: 87 and 12; one core of the measuring machine). */
+/* The price of a worker is computed again only when a run there was added to
+ * the plan: for a gang of 8 this takes 3.7 ms with 1,100 workers and 12 ms
+ * with 3,000 workers on one core, while computing all prices again for each
+ * task took 17.5 ms and 87 ms. */
 static bool
 make_plan(struct plan *plan, const GPtrArray *targets, unsigned tasks,
           struct timespec now)
@@ -431,22 +443,23 @@
         struct price price = {.target = targets->pdata[i]};
 
         g_array_append_val(plan->prices, price);
-        g_hash_table_insert(plan->places, targets->pdata[i],
+        g_hash_table_insert(plan->price_positions, targets->pdata[i],
                             GUINT_TO_POINTER(plan->prices->len));
     }
-    while (total_after(plan, now) < tasks) {
-        if (!make_one_more(plan)) {
+    while (total_fits_after(plan, now) < tasks) {
+        if (!add_victims(plan)) {
             return false;
         }
     }
     return true;
 }
 
-/* ---- carrying out ---- */
+/* ---- execution of a plan ---- */
 
 static void
-reserve(struct cw_owner *owner, struct owner_step *step,
-        const struct plan *plan, const GPtrArray *targets, unsigned tasks)
+create_reserved_runs(struct cw_owner *owner, struct owner_step *step,
+                     const struct plan *plan, const GPtrArray *targets,
+                     unsigned tasks)
 {
     GArray *choices = g_array_new(FALSE, FALSE, sizeof(struct owner_choice));
 
@@ -466,8 +479,8 @@
 }
 
 static void
-carry_out(struct cw_owner *owner, struct owner_step *step, struct plan *plan,
-          const GPtrArray *targets, unsigned tasks)
+execute_plan(struct cw_owner *owner, struct owner_step *step,
+             struct plan *plan, const GPtrArray *targets, unsigned tasks)
 {
     cw_log_info("reclaim",
                 "id=%s step=%u tasks=%u gangs=%u singles=%u "
@@ -476,7 +489,7 @@
                 plan->gangs->len, plan->singles->len, plan->cost);
     cw_count_add(owner->options.counters, CW_COUNT_PREEMPTIONS,
                  plan->gangs->len + plan->singles->len);
-    reserve(owner, step, plan, targets, tasks);
+    create_reserved_runs(owner, step, plan, targets, tasks);
     for (guint i = 0; i < plan->gangs->len; i++) {
         struct owner_step *gang = plan->gangs->pdata[i];
 
@@ -487,13 +500,14 @@
         owner_run_evict_for(owner, plan->singles->pdata[i],
                             OWNER_IDLE_PREEMPTED);
     }
-    /* Victims that had not been sent yet left at once. */
+    /* Victims whose start had not been sent yet were dropped at once. */
     for (guint i = 0; i < targets->len; i++) {
         owner_runs_promote_reserved(owner, targets->pdata[i]);
     }
 }
 
-/* Usable workers that may take the step, by rack; "" holds all of them. */
+/* Returns the usable workers that the step may use, by rack; the key "" has
+ * all of them. */
 static GHashTable *
 targets_by_rack(struct cw_owner *owner, const struct owner_step *step,
                 struct timespec now)
@@ -529,7 +543,8 @@
     return racks;
 }
 
-/* The cheapest rack that can be freed for the gang. */
+/* Returns the workers of the rack that can be freed for the gang at the lowest
+ * cost, or NULL if there is none. */
 static GPtrArray *
 cheapest_rack(struct cw_owner *owner, const struct owner_step *step,
               GHashTable *racks, unsigned tasks, struct timespec now)
@@ -578,7 +593,7 @@
     plan_init(&plan, owner, step);
     ok = make_plan(&plan, targets, tasks, now);
     if (ok) {
-        carry_out(owner, step, &plan, targets, tasks);
+        execute_plan(owner, step, &plan, targets, tasks);
     }
     plan_clear(&plan);
     g_hash_table_unref(racks);
--- a/src/owner/owner_racks.c
+++ b/src/owner/owner_racks.c
@@ -1,19 +1,20 @@
-/* Racks for gangs: the best one now, and one kept clear for later. */
+/* Racks for gangs: chooses the best one with enough free capacity, or reserves
+ * one for later. */
 #include "owner/internal/owner_candidates.h"
 #include "owner/internal/owner_placement.h"
 
 #include <string.h>
 
-/* How long a rack is kept clear; renewed while the gang waits. */
-enum { HOLD_MS = 400 };
+/* How long a rack stays reserved; renewed while the gang waits. */
+enum { RESERVATION_MS = 400 };
 
-/* What a rack would give a gang: what its first candidates come to. */
+/* What a rack would give a gang that uses its candidates in their order. */
 struct rack_offer {
     const char *rack;
-    unsigned fits; /* tasks, in all its candidates */
-    unsigned idle; /* idle workers that the gang would take */
-    int speed;     /* of the slowest worker, in steps: the gang's own */
-    unsigned left; /* tasks that have no place yet */
+    unsigned fits; /* tasks that fit on all its candidates */
+    unsigned idle; /* idle workers that the gang would use */
+    int speed;     /* speed class of the slowest worker, and so of the gang */
+    unsigned unassigned; /* tasks that are not assigned yet */
 };
 
 static void
@@ -22,35 +23,36 @@
     int speed = (int)(candidate->target->incarnation.speed / OWNER_SPEED_STEP);
 
     offer->fits += candidate->fits;
-    if (offer->left > 0) {
+    if (offer->unassigned > 0) {
         offer->speed = MIN(offer->speed, speed);
         offer->idle += owner_candidate_is_idle(candidate);
-        offer->left -= MIN(offer->left, candidate->fits);
+        offer->unassigned -= MIN(offer->unassigned, candidate->fits);
     }
 }
 
-/* Offers of all racks, in the order of their first candidates. */
+/* Returns the offers of all racks, in the order of their first candidates. */
 static GArray *
-offers_of(const GArray *candidates, unsigned racks, unsigned tasks)
+offers_of(const GArray *candidates, unsigned rack_count, unsigned tasks)
 {
     GArray *offers = g_array_new(FALSE, FALSE, sizeof(struct rack_offer));
-    guint *places = g_new0(guint, racks); /* 1 + index, by rack */
+    guint *positions = g_new0(guint, rack_count); /* 1 + index in `offers` */
 
     for (guint i = 0; i < candidates->len; i++) {
         const struct owner_candidate *c =
             &g_array_index(candidates, struct owner_candidate, i);
-        guint *place = &places[c->target->rack_number];
+        guint *position = &positions[c->target->rack_number];
 
-        if (*place == 0) {
-            struct rack_offer offer = {
-                .rack = c->target->rack, .speed = G_MAXINT, .left = tasks};
+        if (*position == 0) {
+            struct rack_offer offer = {.rack = c->target->rack,
+                                       .speed = G_MAXINT,
+                                       .unassigned = tasks};
 
             g_array_append_val(offers, offer);
-            *place = offers->len;
+            *position = offers->len;
         }
-        offer_add(&g_array_index(offers, struct rack_offer, *place - 1), c);
+        offer_add(&g_array_index(offers, struct rack_offer, *position - 1), c);
     }
-    g_free(places);
+    g_free(positions);
     return offers;
 }
 
@@ -97,12 +99,14 @@
     return rack;
 }
 
-/* Room for the gang once work of a lower priority has left. */
+/* Returns how many of the gang's tasks will fit on the worker once its runs
+ * with a lower priority have ended. */
 static unsigned
-fits_later(const struct owner_step *step, const struct owner_target *target)
+fits_after_stops(const struct owner_step *step,
+                 const struct owner_target *target)
 {
     struct cw_resources need = owner_step_need(step->spec);
-    struct cw_resources room = owner_free_resources(target);
+    struct cw_resources available = owner_free_resources(target);
     unsigned priority = step->occurrence->job->spec->priority;
 
     for (guint i = 0; i < target->runs->len; i++) {
@@ -110,19 +114,20 @@
         struct cw_resources taken = owner_step_need(run->task->step->spec);
 
         if (owner_task_job(run->task)->spec->priority > priority) {
-            owner_resources_add(&room, &taken);
+            owner_resources_add(&available, &taken);
         }
     }
-    return owner_limit_per_worker(step, target, owner_fit_count(&room, &need));
+    return owner_limit_per_worker(step, target,
+                                  owner_fit_count(&available, &need));
 }
 
-/* The rack that will have most room for the gang, or NULL if none will have
- * enough. */
+/* Returns the rack that will have the most capacity for the gang, or NULL if
+ * none will have enough. */
 static const char *
-rack_to_hold(struct cw_owner *owner, const struct owner_step *step,
-             struct timespec now)
+rack_to_reserve(struct cw_owner *owner, const struct owner_step *step,
+                struct timespec now)
 {
-    unsigned *racks =
+    unsigned *fits_by_rack =
         g_new0(unsigned, owner->rack_lower_priority_workers->len);
     const char *best = NULL;
     unsigned best_fits = step->count - 1;
@@ -141,14 +146,14 @@
         {
             continue;
         }
-        racks[target->rack_number] += fits_later(step, target);
-        fits = racks[target->rack_number];
+        fits_by_rack[target->rack_number] += fits_after_stops(step, target);
+        fits = fits_by_rack[target->rack_number];
         if (fits > best_fits) {
             best = target->rack;
             best_fits = fits;
         }
     }
-    g_free(racks);
+    g_free(fits_by_rack);
     return best;
 }
 
@@ -163,13 +168,13 @@
     if (owner_memo_has_failed(owner, step, OWNER_ATTEMPT_RESERVE_RACK, now)) {
         return;
     }
-    rack = rack_to_hold(owner, step, now);
+    rack = rack_to_reserve(owner, step, now);
     if (rack == NULL) {
         owner_memo_add_failure(owner, step, OWNER_ATTEMPT_RESERVE_RACK, now);
         return;
     }
     owner->rack_reservations++;
-    step->rack_reservation_until = cw_time_add_ms(now, HOLD_MS);
+    step->rack_reservation_until = cw_time_add_ms(now, RESERVATION_MS);
     g_hash_table_iter_init(&iterator, owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct owner_target *target = value;
@@ -178,7 +183,7 @@
             target->rack_reserved_for = step;
             target->rack_reserved_priority =
                 step->occurrence->job->spec->priority;
-            target->rack_reserved_until = cw_time_add_ms(now, HOLD_MS);
+            target->rack_reserved_until = cw_time_add_ms(now, RESERVATION_MS);
         }
     }
 }
--- a/src/owner/owner_residency.c
+++ b/src/owner/owner_residency.c
@@ -1,4 +1,4 @@
-/* Where the data of jobs may live. */
+/* Data residency: the data centres in which jobs may run. */
 #include "owner/internal/owner_private.h"
 
 #include <string.h>
@@ -18,10 +18,10 @@
             cw_routing_account_permits_dc(owner->routing, spec->account, dc));
 }
 
-/* The run is where it may not be.  A job that must not be begun again ends;
- * another one goes on elsewhere. */
+/* Handles a run in a data centre that its job may not use any more.  The run
+ * is evicted; an at-most-once job that may have begun ends. */
 static void
-leave_place(struct cw_owner *owner, struct owner_run *run)
+evict_run(struct cw_owner *owner, struct owner_run *run)
 {
     struct owner_step *step = run->task->step;
     struct owner_job *job = step->occurrence->job;
@@ -51,7 +51,7 @@
         if (!run->stopping && !run->gang_done &&
             !owner_dc_permitted(owner, owner_task_job(run->task), target->dc))
         {
-            leave_place(owner, run);
+            evict_run(owner, run);
         }
     }
 }
--- a/src/owner/owner_speed.c
+++ b/src/owner/owner_speed.c
@@ -1,10 +1,10 @@
-/* How fast workers are, told from how far their tasks have come.
+/* Speed of workers, estimated from the progress of their tasks.
  *
- * Members of a gang mostly have equal work, so their rates compare the workers
- * they are on.  That shows two things: lasting differences between workers,
- * which placement uses, and workers that hold work up, which are avoided and,
- * where it pays, left.  A task that is merely long looks like the latter:
- * cw_stragglers.h. */
+ * Members of a gang mostly have equal work, so that their rates compare the
+ * workers that they run on.  This shows permanent differences between workers,
+ * which placement uses, and workers that delay their work, which are avoided
+ * and from which runs are moved where that is worthwhile.  A task that is just
+ * longer than others can look like a slow worker; see cw_stragglers.h. */
 #include "owner/internal/owner_private.h"
 
 #include <string.h>
@@ -12,27 +12,28 @@
 #include "curlewcart/cw_stragglers.h"
 
 enum {
-    /* A rate is taken over so long at least, and over so many percents that
-     * are due in it, as percents are whole. */
-    WINDOW_MS = 400,
-    WINDOW_PERCENTS = 5,
-    /* A member's rate that is older says nothing of now. */
-    RATE_OLD_MS = 2500,
+    /* Minimum length of the window over which a rate is measured. */
+    WINDOW_MIN_MS = 400,
+    /* The window also covers at least so many percent, done or expected, as
+     * progress is reported in whole percent. */
+    WINDOW_MIN_PERCENT = 5,
+    /* An older rate of a member is not used for comparison. */
+    RATE_MAX_AGE_MS = 2500,
     SLOW_AVOID_MS = 2500,
     /* Restarts of a step because of slow workers. */
-    MOVES_MOST = 2
+    MOVES_MAX = 2
 };
 
-/* How much of a new comparison goes into a worker's speed. */
+/* Weight of a new comparison in a worker's moving average. */
 #define SPEED_WEIGHT 0.3
-#define SPEED_LEAST 0.5
-#define SPEED_MOST 2.0
+#define SPEED_MIN 0.5
+#define SPEED_MAX 2.0
 
 static bool
 rate_is_fresh(const struct owner_run *run, struct timespec now)
 {
     return run->rate_known && run->percent < CW_PERCENT_DONE &&
-           cw_time_diff_ms(run->rate_at, now) < RATE_OLD_MS;
+           cw_time_diff_ms(run->rate_at, now) < RATE_MAX_AGE_MS;
 }
 
 static int
@@ -44,10 +45,10 @@
     return x < y ? -1 : x > y;
 }
 
-/* The median rate of the other members, as on a worker of speed 1; 0 if
- * there are none to compare with. */
+/* Returns the median rate of the gang's members on other workers, scaled to a
+ * worker of speed 1; 0 if there are none to compare with. */
 static double
-gang_rate(const struct owner_run *run, struct timespec now)
+peer_rate(const struct owner_run *run, struct timespec now)
 {
     const struct owner_step *step = run->task->step;
     GArray *rates = g_array_new(FALSE, FALSE, sizeof(double));
@@ -73,19 +74,19 @@
 }
 
 static void
-learn_speed(struct owner_target *target, double ratio)
+update_speed(struct owner_target *target, double ratio)
 {
-    double seen = target->incarnation.speed * ratio;
+    double measured = target->incarnation.speed * ratio;
 
     target->incarnation.speed +=
-        SPEED_WEIGHT * (seen - target->incarnation.speed);
+        SPEED_WEIGHT * (measured - target->incarnation.speed);
     target->incarnation.speed =
-        CLAMP(target->incarnation.speed, SPEED_LEAST, SPEED_MOST);
+        CLAMP(target->incarnation.speed, SPEED_MIN, SPEED_MAX);
 }
 
 static void
-leave_slow_worker(struct cw_owner *owner, struct owner_run *run,
-                  double expected, struct timespec now)
+move_from_slow_worker(struct cw_owner *owner, struct owner_run *run,
+                      double expected, struct timespec now)
 {
     struct owner_step *step = run->task->step;
     struct cw_restart restart = {
@@ -97,7 +98,7 @@
     };
 
     if (run->stopping || run->gang_done || step->spec->endless ||
-        owner_at_most_once_protects(run) || step->moves >= MOVES_MOST ||
+        owner_at_most_once_protects(run) || step->moves >= MOVES_MAX ||
         !cw_restart_is_worthwhile(&restart) ||
         !owner_run_may_move(owner, run, now))
     {
@@ -125,34 +126,34 @@
     target->incarnation.slow_until = cw_time_add_ms(now, SLOW_AVOID_MS);
 }
 
-/* Percents that are due in so long at that rate. */
+/* Returns how many percent a run does in this time at this rate. */
 static double
-due_percents(double rate, int64_t passed_ms)
+percent_done_in(double rate, int64_t passed_ms)
 {
     return rate * (double)passed_ms / CW_MS_PER_S;
 }
 
-/* Judges the rate of the window that has just ended. */
+/* Evaluates the rate of the window that has just ended. */
 static void
-judge_rate(struct cw_owner *owner, struct owner_run *run, double peers,
-           int64_t passed_ms, struct timespec now)
+evaluate_rate(struct cw_owner *owner, struct owner_run *run, double peers,
+              int64_t passed_ms, struct timespec now)
 {
     struct owner_incarnation *incarnation = &run->target->incarnation;
     unsigned job = g_str_hash(owner_task_job(run->task)->spec->id);
-    bool tells_best =
-        due_percents(run->best_rate, passed_ms) >= WINDOW_PERCENTS;
-    struct cw_rates pace = {
+    bool best_is_usable =
+        percent_done_in(run->best_rate, passed_ms) >= WINDOW_MIN_PERCENT;
+    struct cw_rates rates = {
         .rate = run->rate,
-        .best = tells_best ? run->best_rate : 0,
+        .best = best_is_usable ? run->best_rate : 0,
         .peers = peers,
         .slow_in_other_job =
             incarnation->slow_job != 0 && incarnation->slow_job != job,
     };
 
-    switch (cw_rates_classify(&pace)) {
+    switch (cw_rates_classify(&rates)) {
     case CW_RATE_SLOW_WORKER:
-        avoid_slow_worker(run, cw_rates_expected(&pace), now);
-        leave_slow_worker(owner, run, cw_rates_expected(&pace), now);
+        avoid_slow_worker(run, cw_rates_expected(&rates), now);
+        move_from_slow_worker(owner, run, cw_rates_expected(&rates), now);
         break;
     case CW_RATE_LONG_TASK:
         incarnation->slow_job = job;
@@ -161,7 +162,7 @@
         incarnation->slow_until = cw_time_from_ms(0);
         incarnation->slow_job = 0;
         if (peers > 0) {
-            learn_speed(run->target, run->rate / peers);
+            update_speed(run->target, run->rate / peers);
         }
         break;
     default:
@@ -169,15 +170,15 @@
     }
 }
 
-/* True if the window is long enough to tell the run's rate. */
+/* True if the window is long enough to measure the run's rate. */
 static bool
 window_is_full(const struct owner_run *run, unsigned advance, double peers,
                int64_t passed_ms)
 {
     double rate = MAX(run->best_rate, peers);
 
-    return advance >= WINDOW_PERCENTS ||
-           due_percents(rate, passed_ms) >= WINDOW_PERCENTS;
+    return advance >= WINDOW_MIN_PERCENT ||
+           percent_done_in(rate, passed_ms) >= WINDOW_MIN_PERCENT;
 }
 
 void
@@ -193,11 +194,11 @@
         run->window_percent = percent;
         return;
     }
-    if (passed_ms < WINDOW_MS) {
+    if (passed_ms < WINDOW_MIN_MS) {
         return;
     }
     if (run->task->step->spec->gang) {
-        peers = gang_rate(run, now) * run->target->incarnation.speed;
+        peers = peer_rate(run, now) * run->target->incarnation.speed;
     }
     if (!window_is_full(run, advance, peers, passed_ms)) {
         return;
@@ -208,9 +209,9 @@
     run->window_at = now;
     run->window_percent = percent;
     if (percent < CW_PERCENT_DONE && run->rate_known) {
-        judge_rate(owner, run, peers, passed_ms, now);
+        evaluate_rate(owner, run, peers, passed_ms, now);
     }
-    if (advance >= WINDOW_PERCENTS) {
+    if (advance >= WINDOW_MIN_PERCENT) {
         run->best_rate = MAX(run->best_rate, run->rate);
     }
 }
--- a/src/owner/owner_starvation.c
+++ b/src/owner/owner_starvation.c
@@ -1,37 +1,42 @@
-/* Starvation: idle jobs get room that is withheld from them.
+/* Starvation: places jobs that have been idle for too long in capacity that is
+ * withheld from them.
  *
- * Room is kept free for urgent work, racks are kept clear for gangs, workers
- * that failed or were slow are avoided for seconds, and lower work waits while
- * the owner is behind.  Once cw_idle_is_overdue says so, what a job can only
- * begin together, one task or its gang, is placed in what is free, whatever it
- * is kept for.  It makes way again ahead of need (owner_headroom_reclaim.c).
- */
+ * Headroom is reserved for urgent work, racks are reserved for gangs, workers
+ * that failed or were slow are avoided for seconds, and lower-priority work
+ * waits while the owner is behind.  Once cw_idle_is_overdue returns true, the
+ * smallest part of a job that can run, one task or its gang, is placed in free
+ * capacity even if that is reserved.  Runs that borrow headroom are stopped
+ * before urgent work needs it (owner_headroom_reclaim.c). */
 #include "owner/internal/owner_candidates.h"
 #include "owner/internal/owner_placement.h"
 
 enum {
-    /* The platform bears 6 s after the last run of a task that lasts, whether
-     * others of its job run or not.  What is left is for a pass, the store and
-     * the start. */
-    LASTING_STARVED_MS = 5300,
-    /* Steps are looked at so often: in a full service room is free for some ms
-     * only, until the next pass. */
-    EVERY_MS = 30,
-    /* A run that was placed is given so long to be confirmed: a start has 0.5
-     * s for its answer. */
-    PLACED_MS = 600,
-    /* Placed in one look: an owner that is behind has all its waiting jobs
-     * here. */
-    PLACED_MOST = 16,
-    /* Looked at in vain in one look, beyond what the memo knows: enough that
-     * a few gangs that find nothing do not hide all others. */
-    FAILED_MOST = 256,
-    TIMES = 2
+    /* The platform tolerates 6 s after the last run of an endless task,
+     * whether other tasks of its job run or not.  The rest is for a placement
+     * pass, the store and the start. */
+    ENDLESS_STARVED_MS = 5300,
+    /* Interval of scans for starved steps.  In a full service capacity stays
+     * free for only some ms, until the next pass. */
+    SCAN_INTERVAL_MS = 30,
+    /* How long a placed run may take to be confirmed: a start has 0.5 s for
+     * its answer. */
+    UNCONFIRMED_MAX_MS = 600,
+    /* Limit on the steps that are placed in one scan: for an owner that is
+     * behind, all waiting jobs are starved. */
+    PLACED_MAX = 16,
+    /* Limit on the failed attempts in one scan, beside those that the memo
+     * saves: high enough that a few gangs that don't fit don't keep all other
+     * steps from being tried. */
+    FAILED_MAX = 256,
+    /* How often an endless task has to fit, unless its whole job is starved.
+     */
+    FIT_TIMES = 2
 };
 
-/* Tasks that last and have not been at work for too long. */
+/* Returns how many endless tasks of the step have been without a run for too
+ * long. */
 static unsigned
-lasting_starved(const struct owner_step *step, struct timespec now)
+starved_endless_tasks(const struct owner_step *step, struct timespec now)
 {
     unsigned count = 0;
 
@@ -39,66 +44,71 @@
         const struct owner_task *task = &step->tasks[i];
 
         count += task->run == NULL && task->idle_since.tv_sec > 0 &&
-                 cw_time_diff_ms(task->idle_since, now) > LASTING_STARVED_MS;
+                 cw_time_diff_ms(task->idle_since, now) > ENDLESS_STARVED_MS;
     }
     return count;
 }
 
-/* Runs that are placed are no work: their starts may never be answered, and
- * their places may never come free. */
+/* True if the job has been idle for too long.  A run that is only placed does
+ * not count as work after UNCONFIRMED_MAX_MS: its start may never be answered,
+ * and its reserved capacity may never be freed. */
 static bool
 job_is_starved(const struct owner_job *job, struct timespec now)
 {
     return cw_idle_is_overdue(&job->idle.clock, now) &&
            (job->runs == 0 ||
-            cw_time_diff_ms(job->placed_at, now) > PLACED_MS);
+            cw_time_diff_ms(job->placed_at, now) > UNCONFIRMED_MAX_MS);
 }
 
 static bool
 is_starved(const struct owner_step *step, struct timespec now)
 {
     return job_is_starved(step->occurrence->job, now) ||
-           lasting_starved(step, now) > 0;
+           starved_endless_tasks(step, now) > 0;
 }
 
-/* Tasks that have to fit.  Workers have had room for a starved job twice over
- * by their own word; of that some may be booked. */
+/* Returns how many tasks have to fit.  For a starved job workers have reported
+ * free capacity for twice as many; some of it may be used by runs that are not
+ * confirmed yet. */
 static unsigned
-least_fits(const struct owner_step *step, unsigned together,
-           struct timespec now)
+min_fits(const struct owner_step *step, unsigned tasks_together,
+         struct timespec now)
 {
-    return job_is_starved(step->occurrence->job, now) ? together
-                                                      : TIMES * together;
+    return job_is_starved(step->occurrence->job, now)
+               ? tasks_together
+               : FIT_TIMES * tasks_together;
 }
 
-/* Where the gang, one task, or each task that lasts goes; NULL if there is no
- * room, or not in the one rack that it needs. */
+/* Chooses workers for the gang, for one task, or for the starved endless
+ * tasks.  NULL if there is not enough free capacity, or not in the one rack
+ * that the gang needs. */
 static GArray *
-choose(struct cw_owner *owner, struct owner_step *step,
-       const GArray *candidates, struct timespec now)
+choose_workers(struct cw_owner *owner, struct owner_step *step,
+               const GArray *candidates, struct timespec now)
 {
-    unsigned together = step->spec->gang ? step->count : 1;
+    unsigned tasks_together = step->spec->gang ? step->count : 1;
     unsigned fits = owner_total_fit_count(candidates);
     const char *rack = NULL;
 
-    if (fits < least_fits(step, together, now)) {
+    if (fits < min_fits(step, tasks_together, now)) {
         return NULL;
     }
     if (step->spec->gang) {
-        rack = owner_best_rack(owner, candidates, step, together);
+        rack = owner_best_rack(owner, candidates, step, tasks_together);
     }
     else {
-        together = CLAMP(lasting_starved(step, now), 1, MAX(1, fits - 1));
+        tasks_together =
+            CLAMP(starved_endless_tasks(step, now), 1, MAX(1, fits - 1));
     }
     if (rack == NULL && owner_step_needs_rack(owner, step, now)) {
         return NULL;
     }
-    return owner_choose_targets(candidates, rack, together);
+    return owner_choose_targets(candidates, rack, tasks_together);
 }
 
 static bool
-place_on(struct cw_owner *owner, struct owner_step *step,
-         const GPtrArray *targets, struct timespec now)
+place_step_on(struct cw_owner *owner, struct owner_step *step,
+              const GPtrArray *targets, struct timespec now)
 {
     const struct owner_job *job = step->occurrence->job;
     GArray *candidates = owner_candidates_with_reserved(targets, step, now);
@@ -107,7 +117,7 @@
     owner->borrowing_headroom =
         job->spec->priority > 0 &&
         owner_headroom_workers_left(owner, step, job->service, now) == 0;
-    choices = choose(owner, step, candidates, now);
+    choices = choose_workers(owner, step, candidates, now);
     if (choices != NULL) {
         cw_log_info("headroom_borrowed",
                     "id=%s step=%u.%u waits_ms=%" PRId64 " fits=%u runs=%u",
@@ -123,7 +133,8 @@
 }
 
 static bool
-may_try(struct cw_owner *owner, struct owner_step *step, struct timespec now)
+should_try(struct cw_owner *owner, struct owner_step *step,
+           struct timespec now)
 {
     return owner_step_needs_placement(step, now) && is_starved(step, now) &&
            owner_at_most_once_may_start(owner, step) &&
@@ -138,11 +149,11 @@
     GPtrArray *targets;
     bool done;
 
-    if (!may_try(owner, step, now)) {
+    if (!should_try(owner, step, now)) {
         return false;
     }
     targets = owner_reachable_targets(owner, &need, now);
-    done = place_on(owner, step, targets, now);
+    done = place_step_on(owner, step, targets, now);
     g_ptr_array_unref(targets);
     if (!done) {
         owner_memo_add_failure(owner, step, OWNER_ATTEMPT_STARVED, now);
@@ -150,30 +161,31 @@
     return done;
 }
 
-/* The least that a task of any of the steps takes. */
+/* Returns the minimum, for each resource, that a task of any of the steps
+ * requires. */
 static struct cw_resources
-least_need(const GPtrArray *steps)
+min_need(const GPtrArray *steps)
 {
-    struct cw_resources least = {.cpu_milli = INT64_MAX,
-                                 .memory_mb = INT64_MAX,
-                                 .accelerators = INT64_MAX};
+    struct cw_resources min = {.cpu_milli = INT64_MAX,
+                               .memory_mb = INT64_MAX,
+                               .accelerators = INT64_MAX};
 
     for (guint i = 0; i < steps->len; i++) {
         const struct owner_step *step = steps->pdata[i];
         struct cw_resources need = owner_step_need(step->spec);
 
-        least.cpu_milli = MIN(least.cpu_milli, need.cpu_milli);
-        least.memory_mb = MIN(least.memory_mb, need.memory_mb);
-        least.accelerators = MIN(least.accelerators, need.accelerators);
+        min.cpu_milli = MIN(min.cpu_milli, need.cpu_milli);
+        min.memory_mb = MIN(min.memory_mb, need.memory_mb);
+        min.accelerators = MIN(min.accelerators, need.accelerators);
     }
-    return least;
+    return min;
 }
 
 void
 owner_place_starved_steps(struct cw_owner *owner, const GPtrArray *steps,
                           struct timespec now)
 {
-    struct cw_resources least = least_need(steps);
+    struct cw_resources min = min_need(steps);
     GPtrArray *targets = NULL;
     unsigned placed = 0;
     unsigned failed = 0;
@@ -181,20 +193,20 @@
     if (cw_time_before(now, owner->starved_due)) {
         return;
     }
-    owner->starved_due = cw_time_add_ms(now, EVERY_MS);
+    owner->starved_due = cw_time_add_ms(now, SCAN_INTERVAL_MS);
     owner_headroom_reclaim(owner, now);
     for (guint i = 0;
-         i < steps->len && placed < PLACED_MOST && failed < FAILED_MOST; i++)
+         i < steps->len && placed < PLACED_MAX && failed < FAILED_MAX; i++)
     {
         struct owner_step *step = steps->pdata[i];
 
-        if (!may_try(owner, step, now)) {
+        if (!should_try(owner, step, now)) {
             continue;
         }
         if (targets == NULL) {
-            targets = owner_reachable_targets(owner, &least, now);
+            targets = owner_reachable_targets(owner, &min, now);
         }
-        if (place_on(owner, step, targets, now)) {
+        if (place_step_on(owner, step, targets, now)) {
             placed++;
         }
         else {
--- a/src/placement/headroom.c
+++ b/src/placement/headroom.c
@@ -1,4 +1,4 @@
-/* Forecast of what urgent work will hold. */
+/* Forecast of what urgent work will use. */
 #include "curlewcart/cw_headroom.h"
 
 #include <glib.h>
@@ -6,13 +6,13 @@
 #include "curlewcart/cw_time.h"
 
 enum {
-    /* What arrives in so long is kept free: about what it takes to stop
-     * others, and as much again since arrivals are uneven. */
-    SPARE_MS = 1500,
-    /* Arrivals are averaged over about so long. */
-    ARRIVALS_MS = 4000,
-    /* How fast the peak is forgotten, a second. */
-    FORGET_PERCENT_PER_S = 12,
+    /* Capacity is reserved for the arrivals of this time.  It is about twice
+     * the time that it takes to stop other runs, as arrivals are uneven. */
+    ARRIVING_MS = 1500,
+    /* Time over which arrivals are averaged, approximately. */
+    ARRIVALS_AVERAGE_MS = 4000,
+    /* Decay of the peak. */
+    PEAK_DECAY_PERCENT_PER_S = 12,
     PERCENT = 100
 };
 
@@ -29,22 +29,24 @@
 }
 
 void
-cw_headroom_observe(struct cw_headroom *headroom, double held,
+cw_headroom_observe(struct cw_headroom *headroom, double used,
                     struct timespec now)
 {
     int64_t passed_ms = cw_time_diff_ms(headroom->observed_at, now);
     double passed_s = (double)passed_ms / CW_MS_PER_S;
 
-    headroom->peak *= MAX(0, 1 - passed_s * FORGET_PERCENT_PER_S / PERCENT);
-    headroom->peak = MAX(headroom->peak, held);
-    headroom->recent_arrivals *= MAX(0, 1 - (double)passed_ms / ARRIVALS_MS);
+    headroom->peak *=
+        MAX(0, 1 - passed_s * PEAK_DECAY_PERCENT_PER_S / PERCENT);
+    headroom->peak = MAX(headroom->peak, used);
+    headroom->recent_arrivals *=
+        MAX(0, 1 - (double)passed_ms / ARRIVALS_AVERAGE_MS);
     headroom->observed_at = now;
 }
 
 double
 cw_headroom_expected_arrivals(const struct cw_headroom *headroom)
 {
-    return headroom->recent_arrivals * SPARE_MS / ARRIVALS_MS;
+    return headroom->recent_arrivals * ARRIVING_MS / ARRIVALS_AVERAGE_MS;
 }
 
 double
--- a/src/placement/idle.c
+++ b/src/placement/idle.c
@@ -1,19 +1,20 @@
-/* Idle jobs. */
+/* The limit on the idle time of jobs. */
 #include "curlewcart/cw_idle.h"
 
 #include "curlewcart/cw_time.h"
 
 enum {
-    /* The platform bears 3 s in which nothing of a job runs beside room for it
-     * twice over.  What is left is for the placement, the store and the start:
-     * 0.1 s, and up to 0.4 where answers are late. */
-    IDLE_MS = 2300,
-    /* There has to have been room for so long.  Workers may have had it for 1
-     * s more: their ends are known here later, where their answers are late.
-     */
-    ROOM_MS = 1500,
-    /* For the same reason a shorter time without room may be none. */
-    GAP_MS = 1000
+    /* The platform tolerates 3 s in which no task of a job runs while there is
+     * twice the capacity that it needs.  The rest is for the placement, the
+     * store and the start: 0.1 s, and up to 0.4 s where answers are late. */
+    IDLE_MAX_MS = 2300,
+    /* How long there has to have been free capacity.  Workers may have had it
+     * for 1 s longer: where their answers are late, the owner learns of the
+     * ends of runs so much later. */
+    FREE_MIN_MS = 1500,
+    /* For the same reason a shorter gap without free capacity may be an
+     * artefact of late answers, and is ignored. */
+    GAP_MAX_MS = 1000
 };
 
 static bool
@@ -29,9 +30,9 @@
 }
 
 void
-cw_idle_check(struct cw_idle *idle, bool has_room, struct timespec now)
+cw_idle_check(struct cw_idle *idle, bool has_capacity, struct timespec now)
 {
-    if (!has_room) {
+    if (!has_capacity) {
         idle->free_since = cw_time_from_ms(0);
         return;
     }
@@ -39,7 +40,7 @@
         idle->free_since = now;
     }
     if (!is_set(idle->available_since) ||
-        cw_time_diff_ms(idle->last_free_at, now) > GAP_MS)
+        cw_time_diff_ms(idle->last_free_at, now) > GAP_MAX_MS)
     {
         idle->available_since = now;
     }
@@ -56,9 +57,9 @@
 bool
 cw_idle_is_overdue(const struct cw_idle *idle, struct timespec now)
 {
-    return cw_time_diff_ms(idle->since, now) > IDLE_MS &&
+    return cw_time_diff_ms(idle->since, now) > IDLE_MAX_MS &&
            is_set(idle->available_since) &&
-           cw_time_diff_ms(idle->last_free_at, now) <= GAP_MS &&
+           cw_time_diff_ms(idle->last_free_at, now) <= GAP_MAX_MS &&
            cw_time_diff_ms(idle->available_since, idle->last_free_at) >=
-               ROOM_MS;
+               FREE_MIN_MS;
 }
--- a/tests/test_cordons.c
+++ b/tests/test_cordons.c
@@ -1,121 +1,122 @@
-/* Data centres that operators close to new work.
+/* Cordons: data centres that operators have closed to new work.
  *
- * Seen: 589 starts in a data centre that had been closed for more than 5 s, by
- * callers' and workers' word, on one day.
- * How it came about: the order lies in the store, beside the configuration.
- * Cause: of that topic only the configuration was read; placement, starts and
- * a VM that took over knew of no such order.
- * Proof: with the checks at sending taken out, six of the tests of starts
- * fail, and 4 of 200 of the emulator's days with such orders; "reserved" fails
- * where places are not given up. */
+ * Guards against starts in a cordoned data centre.  A cordon is a record in
+ * the store, in the topic of the configuration.  When only the configuration
+ * was read from that topic, neither placement nor starts nor a VM that took
+ * over obeyed cordons: on one day there were 589 starts in a data centre that
+ * had been cordoned for more than 5 s, as reported by callers and workers.
+ *
+ * Without the checks when starts are sent, six of the tests of starts fail,
+ * and 4 of 200 emulated days with cordons; "reserved" fails if reserved runs
+ * are not given up. */
 #include "test_main.h"
 
 #include "owner_site.h"
 #include "platform/platform.h"
 #include "fake_store.h"
 
-enum { BOUND_MS = 5000 };
+enum { CORDON_MS = 5000 };
 
-struct bed {
+struct fixture {
     struct site site;
     struct cw_cordons *cordons;
     struct fake_store port;
-    struct cw_follower *orders;
+    struct cw_follower *follower;
     uint64_t offset;
 };
 
 static void
 on_changed(void *context)
 {
-    struct bed *bed = context;
+    struct fixture *fixture = context;
 
-    cw_owner_cordons_changed(bed->site.owner);
+    cw_owner_cordons_changed(fixture->site.owner);
 }
 
 static void
-bed_begin(struct bed *bed)
+fixture_begin(struct fixture *fixture)
 {
     struct cw_cordons_options options = {.codec = platform_codec(),
-                                         .clock = &bed->site.clock.base,
+                                         .clock = &fixture->site.clock.base,
                                          .changed = on_changed,
-                                         .context = bed};
+                                         .context = fixture};
 
-    memset(bed, 0, sizeof(*bed));
-    site_begin(&bed->site);
-    site_put_racks_in_dcs(&bed->site);
-    bed->cordons = cw_cordons_create(&options);
-    bed->site.owner->options.cordons = bed->cordons;
+    memset(fixture, 0, sizeof(*fixture));
+    site_begin(&fixture->site);
+    site_put_racks_in_dcs(&fixture->site);
+    fixture->cordons = cw_cordons_create(&options);
+    fixture->site.owner->options.cordons = fixture->cordons;
 }
 
-/* Orders are read from a store from now on, as VMs do. */
+/* From now on cordons are read from a store, as on a VM. */
 static void
-read_orders(struct bed *bed)
+follow_cordons(struct fixture *fixture)
 {
     struct cw_follower_options options = {
         .name = "orders",
-        .store = &bed->port.base,
-        .clock = &bed->site.clock.base,
+        .store = &fixture->port.base,
+        .clock = &fixture->site.clock.base,
         .topic = platform_codec()->routing_topic,
         .wait_ms = 1000,
         .handler = {.reset = cw_cordons_reset,
                     .loaded = cw_cordons_loaded,
                     .record = cw_cordons_record,
-                    .context = bed->cordons}};
+                    .context = fixture->cordons}};
 
-    bed->port.base.ops = &fake_store_ops;
-    bed->port.model = store_model_create(1);
-    bed->orders = cw_follower_create(&options);
-    cw_cordons_set_follower(bed->cordons, bed->orders);
-    bed->site.owner->options.cordon_ms = BOUND_MS;
+    fixture->port.base.ops = &fake_store_ops;
+    fixture->port.model = store_model_create(1);
+    fixture->follower = cw_follower_create(&options);
+    cw_cordons_set_follower(fixture->cordons, fixture->follower);
+    fixture->site.owner->options.cordon_ms = CORDON_MS;
 }
 
 static void
-bed_end(struct bed *bed)
+fixture_end(struct fixture *fixture)
 {
-    site_end(&bed->site);
-    cw_follower_free(bed->orders);
-    if (bed->port.model != NULL) {
-        store_model_free(bed->port.model);
+    site_end(&fixture->site);
+    cw_follower_free(fixture->follower);
+    if (fixture->port.model != NULL) {
+        store_model_free(fixture->port.model);
     }
-    cw_cordons_free(bed->cordons);
+    cw_cordons_free(fixture->cordons);
 }
 
-/* An operator's record; NULL: it is dropped. */
+/* Applies an operator's record; `text` NULL: it is deleted. */
 static void
-order_text(struct bed *bed, const char *key, const char *text)
+apply_record(struct fixture *fixture, const char *key, const char *text)
 {
     struct cw_store_record record = {.key = key,
                                      .value = text,
                                      .length = text != NULL ? strlen(text) : 0,
-                                     .offset = ++bed->offset};
+                                     .offset = ++fixture->offset};
 
-    cw_cordons_record(bed->cordons, &record);
+    cw_cordons_record(fixture->cordons, &record);
 }
 
 static void
-cordon(struct bed *bed)
+cordon(struct fixture *fixture)
 {
-    order_text(bed, "evacuate/d0", "{}");
-    order_text(bed, "evacuate/d1", "{}");
+    apply_record(fixture, "evacuate/d0", "{}");
+    apply_record(fixture, "evacuate/d1", "{}");
 }
 
 static void
-cordon_all(struct bed *bed)
+cordon_all(struct fixture *fixture)
 {
-    cordon(bed);
-    order_text(bed, "evacuate/d2", "{}");
+    cordon(fixture);
+    apply_record(fixture, "evacuate/d2", "{}");
 }
 
 static void
-uncordon(struct bed *bed)
+uncordon(struct fixture *fixture)
 {
-    order_text(bed, "evacuate/d0", NULL);
-    order_text(bed, "evacuate/d1", NULL);
+    apply_record(fixture, "evacuate/d0", NULL);
+    apply_record(fixture, "evacuate/d1", NULL);
 }
 
-/* Runs of the job in data centres other than d2. */
+/* Returns the number of the job's runs in data centres other than d2. */
 static unsigned
-placed_in_cordon(const struct owner_job *job)
+placed_in_cordoned_dcs(const struct owner_job *job)
 {
     unsigned count = 0;
 
@@ -145,10 +146,10 @@
     }
 }
 
-/* Sends what waits, ms after ms; returns how many starts went out to data
- * centres other than d2. */
+/* Sends queued orders every millisecond; returns how many starts were sent to
+ * data centres other than d2. */
 static unsigned
-starts_sent_in_cordon(struct site *site, unsigned ms)
+starts_sent_to_cordoned_dcs(struct site *site, unsigned ms)
 {
     unsigned sent = 0;
 
@@ -174,378 +175,382 @@
 static const struct cw_step_spec all = {.tasks = RACKS * PER_RACK,
                                         .accelerators = ACCELERATORS};
 
-/* Runs of priority 2, which give way, on all accelerators. */
+/* Runs a job of priority 2, which may be preempted, on all accelerators. */
 static struct owner_job *
-fill_with_lower_work(struct bed *bed)
+fill_with_lower_priority_work(struct fixture *fixture)
 {
     const struct cw_step_spec low = {.tasks = RACKS * PER_RACK,
                                      .accelerators = ACCELERATORS,
                                      .checkpoints = true};
 
-    set_guarantee(&bed->site, 0);
-    return run_job(&bed->site, 2, &low);
+    set_guarantee(&fixture->site, 0);
+    return run_job(&fixture->site, 2, &low);
 }
 
-/* ---- what is known of orders ---- */
+/* ---- records of cordons ---- */
 
 static void
-test_an_order_lasts_until_it_is_dropped(void)
+test_a_cordon_lasts_until_it_is_deleted(void)
 {
-    struct bed bed;
-
-    bed_begin(&bed);
-    CU_ASSERT_TRUE(cw_cordons_permits_dc(bed.cordons, "d0"));
-    order_text(&bed, "evacuate/d0", "{}");
-    bed.site.clock.now = cw_time_add_ms(bed.site.clock.now, 700);
-    CU_ASSERT_FALSE(cw_cordons_permits_dc(bed.cordons, "d0"));
-    CU_ASSERT_TRUE(cw_cordons_permits_dc(bed.cordons, "d1"));
-    CU_ASSERT_EQUAL(cw_cordons_age_ms(bed.cordons, "d0", bed.site.clock.now),
-                    700);
-    order_text(&bed, "evacuate/d0", "{}"); /* written again */
-    CU_ASSERT_EQUAL(cw_cordons_age_ms(bed.cordons, "d0", bed.site.clock.now),
-                    700);
-    order_text(&bed, "evacuate/d0", NULL);
-    CU_ASSERT_TRUE(cw_cordons_permits_dc(bed.cordons, "d0"));
-    CU_ASSERT_EQUAL(cw_cordons_age_ms(bed.cordons, "d0", bed.site.clock.now),
-                    -1);
-    bed_end(&bed);
+    struct fixture fixture;
+
+    fixture_begin(&fixture);
+    CU_ASSERT_TRUE(cw_cordons_permits_dc(fixture.cordons, "d0"));
+    apply_record(&fixture, "evacuate/d0", "{}");
+    fixture.site.clock.now = cw_time_add_ms(fixture.site.clock.now, 700);
+    CU_ASSERT_FALSE(cw_cordons_permits_dc(fixture.cordons, "d0"));
+    CU_ASSERT_TRUE(cw_cordons_permits_dc(fixture.cordons, "d1"));
+    CU_ASSERT_EQUAL(
+        cw_cordons_age_ms(fixture.cordons, "d0", fixture.site.clock.now), 700);
+    apply_record(&fixture, "evacuate/d0", "{}"); /* written again */
+    CU_ASSERT_EQUAL(
+        cw_cordons_age_ms(fixture.cordons, "d0", fixture.site.clock.now), 700);
+    apply_record(&fixture, "evacuate/d0", NULL);
+    CU_ASSERT_TRUE(cw_cordons_permits_dc(fixture.cordons, "d0"));
+    CU_ASSERT_EQUAL(
+        cw_cordons_age_ms(fixture.cordons, "d0", fixture.site.clock.now), -1);
+    fixture_end(&fixture);
 }
 
-/* Other keys, unknown data centres and bytes that cannot be read change
- * nothing else; an order counts whatever its value says. */
+/* Records with other keys are ignored.  A cordon counts whatever its value is,
+ * also for an unknown data centre. */
 static void
-test_any_value_is_an_order_and_other_keys_are_none(void)
+test_any_value_is_a_cordon_and_other_keys_are_ignored(void)
 {
-    struct bed bed;
-
-    bed_begin(&bed);
-    order_text(&bed, "config", "{}");
-    order_text(&bed, "evacuate/", "{}");
-    order_text(&bed, "evacuate", "{}");
-    order_text(&bed, "wave/3", "{}");
-    CU_ASSERT_EQUAL(cw_cordons_count(bed.cordons), 0);
-    order_text(&bed, "evacuate/nowhere", "{}");
-    order_text(&bed, "evacuate/d0", "\xff\x00[");
-    CU_ASSERT_EQUAL(cw_cordons_count(bed.cordons), 2);
-    CU_ASSERT_FALSE(cw_cordons_permits_dc(bed.cordons, "d0"));
-    CU_ASSERT_TRUE(cw_cordons_permits_dc(bed.cordons, "d1"));
-    order_text(&bed, "evacuate/nowhere", NULL);
-    order_text(&bed, "evacuate/nowhere", NULL);
-    CU_ASSERT_EQUAL(cw_cordons_count(bed.cordons), 1);
-    bed_end(&bed);
+    struct fixture fixture;
+
+    fixture_begin(&fixture);
+    apply_record(&fixture, "config", "{}");
+    apply_record(&fixture, "evacuate/", "{}");
+    apply_record(&fixture, "evacuate", "{}");
+    apply_record(&fixture, "wave/3", "{}");
+    CU_ASSERT_EQUAL(cw_cordons_count(fixture.cordons), 0);
+    apply_record(&fixture, "evacuate/nowhere", "{}");
+    apply_record(&fixture, "evacuate/d0", "\xff\x00[");
+    CU_ASSERT_EQUAL(cw_cordons_count(fixture.cordons), 2);
+    CU_ASSERT_FALSE(cw_cordons_permits_dc(fixture.cordons, "d0"));
+    CU_ASSERT_TRUE(cw_cordons_permits_dc(fixture.cordons, "d1"));
+    apply_record(&fixture, "evacuate/nowhere", NULL);
+    apply_record(&fixture, "evacuate/nowhere", NULL);
+    CU_ASSERT_EQUAL(cw_cordons_count(fixture.cordons), 1);
+    fixture_end(&fixture);
 }
 
-/* A record may be given again after a newer one. */
+/* A record may be received again after a newer one. */
 static void
-test_an_older_withdrawal_does_not_undo_an_order(void)
+test_an_older_deletion_does_not_withdraw_a_cordon(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     struct cw_store_record record = {.key = "evacuate/d0", .offset = 4};
 
-    bed_begin(&bed);
-    bed.offset = 8;
-    order_text(&bed, "evacuate/d0", "{}");
-    cw_cordons_record(bed.cordons, &record);
-    CU_ASSERT_FALSE(cw_cordons_permits_dc(bed.cordons, "d0"));
+    fixture_begin(&fixture);
+    fixture.offset = 8;
+    apply_record(&fixture, "evacuate/d0", "{}");
+    cw_cordons_record(fixture.cordons, &record);
+    CU_ASSERT_FALSE(cw_cordons_permits_dc(fixture.cordons, "d0"));
     record.offset = 12;
-    cw_cordons_record(bed.cordons, &record);
-    CU_ASSERT_TRUE(cw_cordons_permits_dc(bed.cordons, "d0"));
-    bed_end(&bed);
+    cw_cordons_record(fixture.cordons, &record);
+    CU_ASSERT_TRUE(cw_cordons_permits_dc(fixture.cordons, "d0"));
+    fixture_end(&fixture);
 }
 
-/* The store may drop the record that withdrew it. */
+/* A cordon that is not among the records of a full load has been withdrawn:
+ * the store may have removed the record that withdrew it. */
 static void
-test_what_a_load_does_not_name_is_withdrawn(void)
+test_a_cordon_missing_in_a_load_is_withdrawn(void)
 {
-    struct bed bed;
-
-    bed_begin(&bed);
-    cordon(&bed);
-    cw_cordons_reset(bed.cordons);
-    order_text(&bed, "evacuate/d1", "{}");
-    CU_ASSERT_FALSE(cw_cordons_permits_dc(bed.cordons, "d0"));
-    cw_cordons_loaded(bed.cordons);
-    CU_ASSERT_TRUE(cw_cordons_permits_dc(bed.cordons, "d0"));
-    CU_ASSERT_FALSE(cw_cordons_permits_dc(bed.cordons, "d1"));
-    bed_end(&bed);
+    struct fixture fixture;
+
+    fixture_begin(&fixture);
+    cordon(&fixture);
+    cw_cordons_reset(fixture.cordons);
+    apply_record(&fixture, "evacuate/d1", "{}");
+    CU_ASSERT_FALSE(cw_cordons_permits_dc(fixture.cordons, "d0"));
+    cw_cordons_loaded(fixture.cordons);
+    CU_ASSERT_TRUE(cw_cordons_permits_dc(fixture.cordons, "d0"));
+    CU_ASSERT_FALSE(cw_cordons_permits_dc(fixture.cordons, "d1"));
+    fixture_end(&fixture);
 }
 
 /* ---- placement ---- */
 
 static void
-test_nothing_is_placed_there_until_it_is_withdrawn(void)
+test_nothing_is_placed_while_cordoned(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     struct owner_job *job;
 
-    bed_begin(&bed);
-    cordon(&bed);
-    job = add_job(&bed.site, 0, &all);
-    pass(&bed.site, 10);
+    fixture_begin(&fixture);
+    cordon(&fixture);
+    job = add_job(&fixture.site, 0, &all);
+    pass(&fixture.site, 10);
     CU_ASSERT_EQUAL(placed(job), PER_RACK);
-    CU_ASSERT_EQUAL(placed_in_cordon(job), 0);
-    uncordon(&bed);
-    CU_ASSERT_TRUE(bed.site.owner->placement_wanted);
-    pass(&bed.site, 10);
+    CU_ASSERT_EQUAL(placed_in_cordoned_dcs(job), 0);
+    uncordon(&fixture);
+    CU_ASSERT_TRUE(fixture.site.owner->placement_wanted);
+    pass(&fixture.site, 10);
     CU_ASSERT_EQUAL(placed(job), RACKS * PER_RACK);
-    bed_end(&bed);
+    fixture_end(&fixture);
 }
 
-/* Nobody is made to leave for a place that must not be used, and a job that
- * has stood still gets none there either. */
+/* No run is preempted for capacity that must not be used, and jobs that have
+ * been idle for too long are not placed there either. */
 static void
-test_no_room_is_reclaimed_or_released_there(void)
+test_nothing_is_preempted_or_borrowed_while_cordoned(void)
 {
     const struct cw_step_spec gang = {
         .tasks = 2, .accelerators = 8, .gang = true, .same_rack = true};
-    struct bed bed;
+    struct fixture fixture;
     struct owner_job *lower;
     struct owner_job *urgent;
 
-    bed_begin(&bed);
-    lower = fill_with_lower_work(&bed);
+    fixture_begin(&fixture);
+    lower = fill_with_lower_priority_work(&fixture);
     CU_ASSERT_EQUAL(placed(lower), RACKS * PER_RACK);
-    cordon_all(&bed);
-    set_guarantee(&bed.site, 16);
-    urgent = add_job(&bed.site, 0, &gang);
-    pass(&bed.site, 10);
-    pass(&bed.site, 4000);
+    cordon_all(&fixture);
+    set_guarantee(&fixture.site, 16);
+    urgent = add_job(&fixture.site, 0, &gang);
+    pass(&fixture.site, 10);
+    pass(&fixture.site, 4000);
     CU_ASSERT_EQUAL(placed(urgent), 0);
     for (unsigned i = 0; i < step_of(lower)->count; i++) {
         CU_ASSERT_FALSE(step_of(lower)->tasks[i].run->stopping);
     }
-    bed_end(&bed);
+    fixture_end(&fixture);
 }
 
-/* What works there goes on. */
+/* Work that runs there goes on. */
 static void
 test_running_work_is_left_alone(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     struct owner_job *job;
 
-    bed_begin(&bed);
-    job = run_job(&bed.site, 0, &all);
-    cordon(&bed);
-    pass(&bed.site, 10);
+    fixture_begin(&fixture);
+    job = run_job(&fixture.site, 0, &all);
+    cordon(&fixture);
+    pass(&fixture.site, 10);
     CU_ASSERT_EQUAL(placed(job), RACKS * PER_RACK);
     for (unsigned i = 0; i < step_of(job)->count; i++) {
         CU_ASSERT_FALSE(step_of(job)->tasks[i].run->stopping);
     }
-    bed_end(&bed);
+    fixture_end(&fixture);
 }
 
-/* Lower work may spread over as many workers as urgent work leaves of those
- * that take work. */
+/* Lower-priority work may use as many workers as urgent work leaves of those
+ * that are not cordoned. */
 static void
 test_cordoned_workers_are_no_headroom(void)
 {
     const struct cw_step_spec burst = {.tasks = 2, .accelerators = 8};
-    const struct cw_step_spec flood = {.tasks = 96, .accelerators = 1};
-    struct bed bed;
+    const struct cw_step_spec many_small = {.tasks = 96, .accelerators = 1};
+    struct fixture fixture;
     struct owner_job *urgent;
     struct owner_job *low;
     unsigned hosts = 0;
     GHashTableIter iterator;
     gpointer value;
 
-    bed_begin(&bed);
-    cordon(&bed);
-    urgent = run_job(&bed.site, 0, &burst);
+    fixture_begin(&fixture);
+    cordon(&fixture);
+    urgent = run_job(&fixture.site, 0, &burst);
     CU_ASSERT_EQUAL(placed(urgent), 2);
-    low = add_job(&bed.site, 2, &flood);
-    pass(&bed.site, 10);
-    g_hash_table_iter_init(&iterator, bed.site.owner->targets);
+    low = add_job(&fixture.site, 2, &many_small);
+    pass(&fixture.site, 10);
+    g_hash_table_iter_init(&iterator, fixture.site.owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         hosts += ((struct owner_target *)value)->lower_priority_runs > 0;
     }
-    CU_ASSERT_EQUAL(placed_in_cordon(low), 0);
+    CU_ASSERT_EQUAL(placed_in_cordoned_dcs(low), 0);
     CU_ASSERT_TRUE(hosts <= PER_RACK - 2);
-    bed_end(&bed);
+    fixture_end(&fixture);
 }
 
 /* ---- starts ---- */
 
-/* Places that were given before the order, stored or not. */
+/* Runs that were placed before the cordon are not started there. */
 static void
 test_a_first_start_is_withheld(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     struct owner_job *job;
 
-    bed_begin(&bed);
-    job = add_job(&bed.site, 0, &all);
-    pass(&bed.site, 10);
-    CU_ASSERT_EQUAL(placed_in_cordon(job), 2 * PER_RACK);
-    queue_starts(&bed.site, job);
-    cordon(&bed);
-    CU_ASSERT_EQUAL(starts_sent_in_cordon(&bed.site, 50), 0);
-    CU_ASSERT_EQUAL(placed_in_cordon(job), 0);
+    fixture_begin(&fixture);
+    job = add_job(&fixture.site, 0, &all);
+    pass(&fixture.site, 10);
+    CU_ASSERT_EQUAL(placed_in_cordoned_dcs(job), 2 * PER_RACK);
+    queue_starts(&fixture.site, job);
+    cordon(&fixture);
+    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.site, 50), 0);
+    CU_ASSERT_EQUAL(placed_in_cordoned_dcs(job), 0);
     CU_ASSERT_EQUAL(placed(job), PER_RACK);
-    bed_end(&bed);
+    fixture_end(&fixture);
 }
 
-/* A run whose state is on its way to the store becomes ready after it. */
+/* A run whose state is being stored becomes ready after the cordon. */
 static void
 test_a_start_that_is_being_stored_is_withheld(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     struct owner_job *job;
 
-    bed_begin(&bed);
-    job = add_job(&bed.site, 0, &all);
-    pass(&bed.site, 10);
+    fixture_begin(&fixture);
+    job = add_job(&fixture.site, 0, &all);
+    pass(&fixture.site, 10);
     for (unsigned i = 0; i < step_of(job)->count; i++) {
         step_of(job)->tasks[i].run->phase = RUN_COMMITTING;
     }
-    cordon(&bed);
-    queue_starts(&bed.site, job);
-    CU_ASSERT_EQUAL(starts_sent_in_cordon(&bed.site, 50), 0);
-    CU_ASSERT_EQUAL(placed_in_cordon(job), 0);
-    bed_end(&bed);
+    cordon(&fixture);
+    queue_starts(&fixture.site, job);
+    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.site, 50), 0);
+    CU_ASSERT_EQUAL(placed_in_cordoned_dcs(job), 0);
+    fixture_end(&fixture);
 }
 
-/* It may have been carried out: it is stopped, not sent again. */
+/* The start may have been carried out, so that the run is stopped. */
 static void
 test_a_start_without_an_answer_is_not_sent_again(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 8};
-    struct bed bed;
+    struct fixture fixture;
     struct owner_job *job;
 
-    bed_begin(&bed);
-    order_text(&bed, "evacuate/d2", "{}");
-    job = add_job(&bed.site, 1, &one);
-    pass(&bed.site, 10);
-    queue_starts(&bed.site, job);
-    CU_ASSERT_EQUAL(starts_sent_in_cordon(&bed.site, 1), 1);
-    cordon(&bed);
+    fixture_begin(&fixture);
+    apply_record(&fixture, "evacuate/d2", "{}");
+    job = add_job(&fixture.site, 1, &one);
+    pass(&fixture.site, 10);
+    queue_starts(&fixture.site, job);
+    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.site, 1), 1);
+    cordon(&fixture);
     answer_last(CW_TARGET_UNKNOWN);
-    CU_ASSERT_EQUAL(starts_sent_in_cordon(&bed.site, 2000), 0);
+    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.site, 2000), 0);
     CU_ASSERT_TRUE(step_of(job)->tasks[0].run->stopping);
-    bed_end(&bed);
+    fixture_end(&fixture);
 }
 
-/* Members that were started before the order are withdrawn with the rest. */
+/* Members that were started before the cordon are stopped with the rest. */
 static void
 test_the_rest_of_a_gang_is_withheld(void)
 {
     const struct cw_step_spec gang = {
         .tasks = 6, .accelerators = 8, .gang = true};
-    struct bed bed;
+    struct fixture fixture;
     struct owner_job *job;
 
-    bed_begin(&bed);
-    order_text(&bed, "evacuate/d2", "{}");
-    job = add_job(&bed.site, 0, &gang);
-    pass(&bed.site, 10);
+    fixture_begin(&fixture);
+    apply_record(&fixture, "evacuate/d2", "{}");
+    job = add_job(&fixture.site, 0, &gang);
+    pass(&fixture.site, 10);
     CU_ASSERT_EQUAL(placed(job), 6);
     step_of(job)->tasks[0].run->phase = RUN_RUNNING;
-    queue_starts(&bed.site, job);
-    cordon(&bed);
-    CU_ASSERT_EQUAL(starts_sent_in_cordon(&bed.site, 50), 0);
+    queue_starts(&fixture.site, job);
+    cordon(&fixture);
+    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.site, 50), 0);
     CU_ASSERT_TRUE(step_of(job)->tasks[0].run->stopping);
     CU_ASSERT_EQUAL(placed(job), 1); /* until its end is listed */
-    bed_end(&bed);
+    fixture_end(&fixture);
 }
 
-/* The place comes free after the order. */
+/* The capacity that the run waits for is freed after the cordon. */
 static void
-test_a_reserved_place_is_given_up(void)
+test_a_reserved_run_is_given_up(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 8};
-    struct bed bed;
+    struct fixture fixture;
     struct owner_job *lower;
     struct owner_job *urgent;
 
-    bed_begin(&bed);
-    lower = fill_with_lower_work(&bed);
-    set_guarantee(&bed.site, 16);
-    urgent = add_job(&bed.site, 0, &one);
-    pass(&bed.site, 10);
+    fixture_begin(&fixture);
+    lower = fill_with_lower_priority_work(&fixture);
+    set_guarantee(&fixture.site, 16);
+    urgent = add_job(&fixture.site, 0, &one);
+    pass(&fixture.site, 10);
     CU_ASSERT_EQUAL_FATAL(placed(urgent), 1);
     CU_ASSERT_EQUAL(step_of(urgent)->tasks[0].run->phase, RUN_RESERVED);
-    cordon_all(&bed);
+    cordon_all(&fixture);
     CU_ASSERT_EQUAL(placed(urgent), 0);
     for (unsigned i = 0; i < step_of(lower)->count; i++) {
         if (step_of(lower)->tasks[i].run->stopping) {
-            owner_run_drop(bed.site.owner, step_of(lower)->tasks[i].run);
+            owner_run_drop(fixture.site.owner, step_of(lower)->tasks[i].run);
         }
     }
-    pass(&bed.site, 10);
+    pass(&fixture.site, 10);
     CU_ASSERT_EQUAL(placed(urgent), 0);
-    bed_end(&bed);
+    fixture_end(&fixture);
 }
 
-/* ---- a VM that does not know ---- */
+/* ---- a VM that has not read the cordons ---- */
 
-/* Runs that an earlier owner has placed are started by the next one. */
+/* Runs that an earlier owner has placed are started by the next one, which has
+ * to read the cordons first. */
 static void
-test_starts_wait_until_orders_were_read(void)
+test_starts_wait_until_cordons_were_read(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     struct owner_job *job;
 
-    bed_begin(&bed);
-    job = add_job(&bed.site, 0, &all);
-    pass(&bed.site, 10);
-    read_orders(&bed);
-    queue_starts(&bed.site, job);
-    CU_ASSERT_EQUAL(starts_sent_in_cordon(&bed.site, 200), 0);
+    fixture_begin(&fixture);
+    job = add_job(&fixture.site, 0, &all);
+    pass(&fixture.site, 10);
+    follow_cordons(&fixture);
+    queue_starts(&fixture.site, job);
+    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.site, 200), 0);
     CU_ASSERT_EQUAL(placed(job), RACKS * PER_RACK);
-    cw_follower_tick(bed.orders, bed.site.clock.now);
-    CU_ASSERT_EQUAL(starts_sent_in_cordon(&bed.site, 1), 2 * PER_RACK);
-    bed_end(&bed);
+    cw_follower_tick(fixture.follower, fixture.site.clock.now);
+    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.site, 1),
+                    2 * PER_RACK);
+    fixture_end(&fixture);
 }
 
-/* An order that was given while the store could not be read is known before
- * the bound is over, or nothing is started. */
+/* Nothing is started if a cordon that was written while the store could not be
+ * read may be older than the limit. */
 static void
-test_starts_wait_while_orders_cannot_be_read(void)
+test_starts_wait_while_cordons_cannot_be_read(void)
 {
     const struct cw_store_record record = {
         .key = "evacuate/d0", .value = "{}", .length = 2};
     const struct cw_store_append append = {
         .topic = "keyed.op", .records = &record, .count = 1};
-    struct bed bed;
+    struct fixture fixture;
     struct owner_job *job;
 
-    bed_begin(&bed);
-    read_orders(&bed);
-    cw_follower_tick(bed.orders, bed.site.clock.now);
-    bed.port.answer_status = CW_STORE_UNKNOWN;
-    store_model_append(bed.port.model, &append);
-    bed.site.clock.now = cw_time_add_ms(bed.site.clock.now, BOUND_MS - 500);
-    job = add_job(&bed.site, 0, &all);
-    pass(&bed.site, 1);
-    queue_starts(&bed.site, job);
-    cw_follower_tick(bed.orders, bed.site.clock.now);
-    CU_ASSERT_EQUAL(starts_sent_in_cordon(&bed.site, 1000), 0);
+    fixture_begin(&fixture);
+    follow_cordons(&fixture);
+    cw_follower_tick(fixture.follower, fixture.site.clock.now);
+    fixture.port.answer_status = CW_STORE_UNKNOWN;
+    store_model_append(fixture.port.model, &append);
+    fixture.site.clock.now =
+        cw_time_add_ms(fixture.site.clock.now, CORDON_MS - 500);
+    job = add_job(&fixture.site, 0, &all);
+    pass(&fixture.site, 1);
+    queue_starts(&fixture.site, job);
+    cw_follower_tick(fixture.follower, fixture.site.clock.now);
+    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.site, 1000), 0);
     CU_ASSERT_EQUAL(placed(job), RACKS * PER_RACK);
-    bed.port.answer_status = CW_STORE_OK;
-    cw_follower_tick(bed.orders, bed.site.clock.now);
-    CU_ASSERT_FALSE(cw_cordons_permits_dc(bed.cordons, "d0"));
+    fixture.port.answer_status = CW_STORE_OK;
+    cw_follower_tick(fixture.follower, fixture.site.clock.now);
+    CU_ASSERT_FALSE(cw_cordons_permits_dc(fixture.cordons, "d0"));
     /* d1 stays open. */
-    CU_ASSERT_EQUAL(starts_sent_in_cordon(&bed.site, 1), PER_RACK);
-    bed_end(&bed);
+    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.site, 1), PER_RACK);
+    fixture_end(&fixture);
 }
 
 static const struct test tests[] = {
-    {"lasts", test_an_order_lasts_until_it_is_dropped},
-    {"any value", test_any_value_is_an_order_and_other_keys_are_none},
-    {"older", test_an_older_withdrawal_does_not_undo_an_order},
-    {"load", test_what_a_load_does_not_name_is_withdrawn},
-    {"placement", test_nothing_is_placed_there_until_it_is_withdrawn},
-    {"reclaim", test_no_room_is_reclaimed_or_released_there},
+    {"lasts", test_a_cordon_lasts_until_it_is_deleted},
+    {"any value", test_any_value_is_a_cordon_and_other_keys_are_ignored},
+    {"older", test_an_older_deletion_does_not_withdraw_a_cordon},
+    {"load", test_a_cordon_missing_in_a_load_is_withdrawn},
+    {"placement", test_nothing_is_placed_while_cordoned},
+    {"reclaim", test_nothing_is_preempted_or_borrowed_while_cordoned},
     {"running work", test_running_work_is_left_alone},
     {"headroom", test_cordoned_workers_are_no_headroom},
     {"first start", test_a_first_start_is_withheld},
     {"being stored", test_a_start_that_is_being_stored_is_withheld},
     {"sent again", test_a_start_without_an_answer_is_not_sent_again},
     {"gang", test_the_rest_of_a_gang_is_withheld},
-    {"reserved", test_a_reserved_place_is_given_up},
-    {"next VM", test_starts_wait_until_orders_were_read},
-    {"cannot read", test_starts_wait_while_orders_cannot_be_read},
+    {"reserved", test_a_reserved_run_is_given_up},
+    {"next VM", test_starts_wait_until_cordons_were_read},
+    {"cannot read", test_starts_wait_while_cordons_cannot_be_read},
 };
 
 TEST_MAIN("cordons", tests)
--- a/tests/test_drain.c
+++ b/tests/test_drain.c
@@ -1,14 +1,14 @@
-/* Work on workers that leave. */
+/* Work on draining workers. */
 #include "test_main.h"
 
 #include "owner_site.h"
 
-enum { REMAINING_MS = 2000, LEAVING_LEASE_MS = 4000 };
+enum { REMAINING_MS = 2000, DRAINING_LEASE_MS = 4000 };
 
-/* A running job of one task, whose worker begins to leave. */
+/* Runs a job of one task, whose worker then starts to drain. */
 static struct owner_run *
-run_on_leaving_worker(struct site *site, bool checkpoints, unsigned percent,
-                      double rate)
+run_on_draining_worker(struct site *site, bool checkpoints, unsigned percent,
+                       double rate)
 {
     const struct cw_step_spec one = {
         .tasks = 1, .accelerators = 8, .checkpoints = checkpoints};
@@ -35,23 +35,24 @@
 {
     struct site site;
 
-    CU_ASSERT_TRUE(run_on_leaving_worker(&site, true, 10, 10)->stopping);
+    CU_ASSERT_TRUE(run_on_draining_worker(&site, true, 10, 10)->stopping);
     site_end(&site);
-    CU_ASSERT_TRUE(run_on_leaving_worker(&site, true, 10, 0)->stopping);
+    CU_ASSERT_TRUE(run_on_draining_worker(&site, true, 10, 0)->stopping);
     site_end(&site);
-    CU_ASSERT_FALSE(run_on_leaving_worker(&site, true, 90, 20)->stopping);
+    CU_ASSERT_FALSE(run_on_draining_worker(&site, true, 90, 20)->stopping);
     site_end(&site);
 }
 
-/* What it has done would be lost by the move, and the worker may stay on. */
+/* Its work would be lost if it were moved, and the worker may remain longer.
+ */
 static void
 test_work_without_checkpoints_stays(void)
 {
     struct site site;
 
-    CU_ASSERT_FALSE(run_on_leaving_worker(&site, false, 10, 10)->stopping);
+    CU_ASSERT_FALSE(run_on_draining_worker(&site, false, 10, 10)->stopping);
     site_end(&site);
-    CU_ASSERT_FALSE(run_on_leaving_worker(&site, false, 10, 0)->stopping);
+    CU_ASSERT_FALSE(run_on_draining_worker(&site, false, 10, 0)->stopping);
     site_end(&site);
 }
 
@@ -77,10 +78,10 @@
     site_end(&site);
 }
 
-/* Guards against a gang that is left on a worker that leaves, since the member
- * there would end in time, and is lost with it as its longest does not. */
+/* Guards against a gang that is not moved as its member on the draining worker
+ * would end in time, and is lost as its longest member would not. */
 static void
-test_a_gang_ends_with_its_longest_member(void)
+test_a_gang_is_moved_for_its_longest_member(void)
 {
     const struct cw_step_spec gang = {
         .tasks = 2, .accelerators = 8, .gang = true, .checkpoints = true};
@@ -109,15 +110,12 @@
     }
 }
 
-/* Seen: a job that stood still until its callers gave up; one task's end was
- * lost with its worker, and the task ran again only 11 s after that.
- * How it came about: the worker had said that it leaves; it left behind a cut,
- * with a lease of 10 s that was extended until the cut.
- * Cause: workers that leave got as long a lease as others, though their work
- * goes with them soon.
- * Proof: the same day, with short leases for them, is clean. */
+/* Guards against long leases of draining workers.  A worker that had announced
+ * that it drains was cut off and went away, with a lease of 10 s that had been
+ * extended until the cut.  The end of a task was lost with it, and the task
+ * ran again only 11 s later, after its callers had given up. */
 static void
-test_a_worker_that_leaves_gets_short_leases(void)
+test_a_draining_worker_gets_short_leases(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 8};
     struct site site;
@@ -130,7 +128,7 @@
     site.owner->ownership_confirmed_at = site.clock.now;
     before_ms = owner_lease_grant(target, CW_ORDER_POLL, site.clock.now);
     target->draining = true;
-    /* What was given stands. */
+    /* The lease that was granted is not shortened. */
     site.clock.now = cw_time_add_ms(site.clock.now, 1000);
     site.owner->ownership_confirmed_at = site.clock.now;
     CU_ASSERT_EQUAL(owner_lease_grant(target, CW_ORDER_POLL, site.clock.now),
@@ -142,18 +140,18 @@
                            site.clock.now);
     CU_ASSERT_EQUAL(owner_lease_grant(target, CW_ORDER_POLL, site.clock.now),
                     before_ms + 9000 - owner_lease_max_granted_ms(site.owner) +
-                        LEAVING_LEASE_MS);
+                        DRAINING_LEASE_MS);
     CU_ASSERT_TRUE(cw_time_diff_ms(site.clock.now, target->lease_end) <=
-                   LEAVING_LEASE_MS + 300);
+                   DRAINING_LEASE_MS + 300);
     site_end(&site);
 }
 
 static const struct test tests[] = {
     {"checkpoints", test_work_with_checkpoints_moves_unless_it_ends_in_time},
-    {"others", test_work_without_checkpoints_stays},
-    {"short leases", test_a_worker_that_leaves_gets_short_leases},
+    {"no checkpoints", test_work_without_checkpoints_stays},
+    {"short leases", test_a_draining_worker_gets_short_leases},
     {"gang", test_a_gang_moves_as_a_whole},
-    {"longest member", test_a_gang_ends_with_its_longest_member},
+    {"longest member", test_a_gang_is_moved_for_its_longest_member},
 };
 
 TEST_MAIN("drain", tests)
--- a/tests/test_gang_dcs.c
+++ b/tests/test_gang_dcs.c
@@ -1,7 +1,8 @@
-/* Where gangs go that no rack holds.
+/* Placement of gangs that don't fit into a rack.
  *
- * The load: gangs wider than a rack in several data centres, of which one is
- * cut off now and then; each cut ends every gang that has a member there. */
+ * Guards against gangs that are spread over more data centres than needed.
+ * When a data centre is cut off, every gang that has a member there is lost.
+ */
 #include "test_main.h"
 
 #include "owner_site.h"
@@ -25,7 +26,7 @@
 }
 
 static unsigned
-tasks_in(const struct owner_job *job, const char *dc)
+tasks_in_dc(const struct owner_job *job, const char *dc)
 {
     unsigned count = 0;
 
@@ -37,7 +38,7 @@
 }
 
 static struct owner_job *
-place_gang_of(struct site *site, unsigned tasks, unsigned priority)
+place_gang(struct site *site, unsigned tasks, unsigned priority)
 {
     struct cw_step_spec gang = {
         .tasks = tasks, .accelerators = ACCELERATORS, .gang = true};
@@ -47,42 +48,42 @@
     return job;
 }
 
-/* Guards against a gang that the cut of either of two data centres ends,
- * though one of them holds it. */
+/* Guards against a gang in two data centres, which is lost when either of them
+ * is cut off, although it fits into one. */
 static void
-test_a_gang_that_fits_into_a_data_centre_spans_one(void)
+test_a_gang_that_fits_into_a_data_centre_uses_one(void)
 {
     for (unsigned priority = 0; priority < 2; priority++) {
         struct site site;
         struct owner_job *job;
 
         begin_in_two_dcs(&site);
-        job = place_gang_of(&site, 6, priority);
+        job = place_gang(&site, 6, priority);
         CU_ASSERT_EQUAL(placed(job), 6);
-        CU_ASSERT_EQUAL(tasks_in(job, "d2"), 6);
+        CU_ASSERT_EQUAL(tasks_in_dc(job, "d2"), 6);
         site_end(&site);
     }
 }
 
-/* Guards against a gang that waits for ever since no data centre holds it, and
- * against members in more of them than it needs. */
+/* Guards against a gang that waits for ever as it fits into no data centre,
+ * and against members in more of them than it needs. */
 static void
-test_a_gang_beyond_a_data_centre_spans_the_fewest(void)
+test_a_gang_beyond_a_data_centre_uses_the_fewest(void)
 {
     struct site site;
     struct owner_job *job;
 
     begin_in_two_dcs(&site);
-    job = place_gang_of(&site, 10, 1);
+    job = place_gang(&site, 10, 1);
     CU_ASSERT_EQUAL(placed(job), 10);
-    CU_ASSERT_EQUAL(tasks_in(job, "d2"), 8);
+    CU_ASSERT_EQUAL(tasks_in_dc(job, "d2"), 8);
     site_end(&site);
 }
 
-/* Guards against a gang that takes the larger of two data centres that hold
- * it, and leaves no place for a wider one. */
+/* Guards against a gang that uses the larger of two data centres into which it
+ * fits, so that no wider gang fits any more. */
 static void
-test_a_gang_takes_the_data_centre_with_least_to_spare(void)
+test_a_gang_uses_the_data_centre_with_least_spare_capacity(void)
 {
     static const struct cw_step_spec single = {.tasks = 1,
                                                .accelerators = ACCELERATORS};
@@ -98,15 +99,15 @@
         owner_run_create(site.owner, &step_of(job)->tasks[0],
                          owner_target_get(site.owner, name), RUN_RUNNING, 1);
     }
-    narrow = place_gang_of(&site, 5, 1); /* of four and six free workers */
-    CU_ASSERT_EQUAL(tasks_in(narrow, "d2"), 5);
-    CU_ASSERT_EQUAL(tasks_in(place_gang_of(&site, 4, 1), "d1"), 4);
+    narrow = place_gang(&site, 5, 1); /* of four and six free workers */
+    CU_ASSERT_EQUAL(tasks_in_dc(narrow, "d2"), 5);
+    CU_ASSERT_EQUAL(tasks_in_dc(place_gang(&site, 4, 1), "d1"), 4);
     site_end(&site);
 }
 
-/* Guards against a bound on members of a step that a worker may have. */
+/* Guards against more members on a worker than the step allows. */
 static void
-test_most_per_worker_holds_in_a_data_centre(void)
+test_limit_per_worker_applies_in_a_data_centre(void)
 {
     struct cw_step_spec gang = {
         .tasks = 7, .accelerators = 1, .most_per_worker = 1, .gang = true};
@@ -116,7 +117,7 @@
     begin_in_two_dcs(&site);
     job = add_job(&site, 1, &gang);
     pass(&site, 10);
-    CU_ASSERT_EQUAL(tasks_in(job, "d2"), 7);
+    CU_ASSERT_EQUAL(tasks_in_dc(job, "d2"), 7);
     for (unsigned i = 1; i < 7; i++) {
         CU_ASSERT_PTR_NOT_EQUAL(worker_of(job, i), worker_of(job, i - 1));
     }
@@ -124,10 +125,11 @@
 }
 
 static const struct test tests[] = {
-    {"one data centre", test_a_gang_that_fits_into_a_data_centre_spans_one},
-    {"beyond one", test_a_gang_beyond_a_data_centre_spans_the_fewest},
-    {"least to spare", test_a_gang_takes_the_data_centre_with_least_to_spare},
-    {"most per worker", test_most_per_worker_holds_in_a_data_centre},
+    {"one data centre", test_a_gang_that_fits_into_a_data_centre_uses_one},
+    {"beyond one", test_a_gang_beyond_a_data_centre_uses_the_fewest},
+    {"least spare capacity",
+     test_a_gang_uses_the_data_centre_with_least_spare_capacity},
+    {"limit per worker", test_limit_per_worker_applies_in_a_data_centre},
 };
 
-TEST_MAIN("spread", tests)
+TEST_MAIN("gang_dcs", tests)
