--- a/tests/test_idle_causes.c
+++ b/tests/test_idle_causes.c
@@ -1,27 +1,28 @@
-/* Work that stands still though there is room.
+/* Causes of idle jobs: work that has nothing running although there is free
+ * capacity.
  *
- * Seen: on 350 workers, with real processes, accepted jobs had nothing running
- * for more than 3 s while tasks of theirs could run, several of an account at
- * a time; the owner had given up two first runs of a wide job whose starts
- * were never answered, after it had stopped them. How: with processes on busy
- * machines answers come late and connections are reset while nothing is
- * broken, and the service is full for minutes. Cause: limits that are each
- * within what is borne, and that add up or have no end.  A start without an
- * answer was tried and given up by answers alone, whatever the worker listed;
- * the looks that its gang waited for waited themselves; what is kept free for
- * others was kept however long a job had stood still. Proof: each case below
- * failed.  job_waits, on a day without any fault at 1.2 times the traffic,
- * shows jobs that wait for up to 11 s beside room for hundreds of their tasks
- * that is kept for urgent work; on days on which workers reset connections,
- * gangs of 69 that stand for 3.5 s for one run that was stopped unconfirmed.
- * The emulator's calm days: 98 of 100 wide ones broken before, none since. */
+ * On 350 workers with real processes, accepted jobs were idle for more than
+ * 3 s while tasks of theirs could run.  Answers are late and connections are
+ * reset on busy machines without any fault, and the service is full for
+ * minutes.  Several limits that are each within what is tolerated added up, or
+ * had no end:
+ * - Starts without an answer were retried and given up by their answers alone,
+ *   even if the worker listed the run.
+ * - The polls that a gang waited for were themselves delayed by the worker:
+ *   gangs of 69 were idle for 3.5 s because of one run that was stopped
+ *   unconfirmed.
+ * - Reserved capacity was withheld from a job however long it had been idle:
+ *   at 1.2 times the traffic, without any fault, jobs waited for up to 11 s
+ *   while there was headroom for hundreds of their tasks.
+ * Each case below failed then, and so did 98 of 100 of the emulator's calm
+ * days with wide jobs; since then none has. */
 #include "test_main.h"
 
 #include "owner_site.h"
 
 enum {
-    /* 3 s are borne; what is left of them is for a pass, the store and the
-     * start. */
+    /* A job may be idle for 3 s; the rest is for a placement pass, the store
+     * and the start. */
     PLACED_WITHIN_MS = 2500,
     STEP_MS = 50
 };
@@ -30,7 +31,7 @@
 
 /* ---- starts without an answer ---- */
 
-/* A job of one task whose start is under way. */
+/* Adds a job of one task and sends its start. */
 static struct owner_run *
 start_job(struct site *site)
 {
@@ -43,7 +44,7 @@
     return run;
 }
 
-/* Sends what is due; true if it was a start. */
+/* Sends the orders that are due; true if the last one was a start. */
 static bool
 sends_start(struct site *site, struct owner_target *target, unsigned ms)
 {
@@ -55,9 +56,10 @@
     return unanswered->len > before && last_order.kind == CW_ORDER_START;
 }
 
-/* A look at the worker that lists the run so far. */
+/* Polls the run's worker, which lists the run with this progress. */
 static void
-list_run_at(struct site *site, const struct owner_run *run, unsigned percent)
+list_run_with_percent(struct site *site, const struct owner_run *run,
+                      unsigned percent)
 {
     struct cw_running row = {.task = owner_task_name(run->task),
                              .run = run->number,
@@ -65,25 +67,25 @@
                              .percent = percent};
     struct cw_target_answer answer = {
         .status = CW_TARGET_OK, .running = &row, .running_count = 1};
-    struct cw_target_order look;
+    struct cw_target_order poll;
 
     site->owner->ownership_confirmed_at = site->clock.now;
     run->target->poll_due = site->clock.now;
     owner_poll_tick(site->owner, run->target, site->clock.now);
-    look = last_order;
-    CU_ASSERT_EQUAL(look.kind, CW_ORDER_POLL);
+    poll = last_order;
+    CU_ASSERT_EQUAL(poll.kind, CW_ORDER_POLL);
     g_array_set_size(unanswered, unanswered->len - 1);
-    look.done(look.context, &answer);
+    poll.done(poll.context, &answer);
 }
 
 static void
 list_run(struct site *site, const struct owner_run *run)
 {
-    list_run_at(site, run, 5);
+    list_run_with_percent(site, run, 5);
 }
 
 static void
-test_what_a_worker_lists_is_not_started_again(void)
+test_a_listed_run_is_not_started_again(void)
 {
     struct site site;
     struct owner_run *run;
@@ -98,9 +100,9 @@
     site_end(&site);
 }
 
-/* Its worker answers looks in time, and each start too late. */
+/* The worker answers polls in time, and each start too late. */
 static void
-test_what_a_worker_lists_is_not_stopped_for_want_of_an_answer(void)
+test_a_listed_run_is_not_stopped_without_an_answer(void)
 {
     struct site site;
     struct owner_run *run;
@@ -122,10 +124,11 @@
     site_end(&site);
 }
 
-/* A connection that is reset fails within a millisecond.  To withdraw the run
- * means to stop its gang, which takes up to a second. */
+/* Guards against runs that are given up within milliseconds, as a reset
+ * connection fails at once.  To give up a run means to stop its gang, which
+ * takes up to a second. */
 static void
-test_starts_that_fail_at_once_are_spread(void)
+test_starts_that_fail_at_once_are_delayed(void)
 {
     struct site site;
     struct owner_run *run;
@@ -144,10 +147,10 @@
     site_end(&site);
 }
 
-/* ---- looks that somebody waits for ---- */
+/* ---- polls that decide what happens to a run ---- */
 
 static void
-send_look(struct site *site, struct owner_target *target)
+send_poll(struct site *site, struct owner_target *target)
 {
     site->owner->ownership_confirmed_at = site->clock.now;
     target->poll_due = site->clock.now;
@@ -156,7 +159,7 @@
 }
 
 static void
-test_a_look_for_a_start_without_an_answer_does_not_wait(void)
+test_a_poll_for_a_start_without_an_answer_does_not_wait(void)
 {
     struct site site;
     struct owner_run *run;
@@ -164,14 +167,14 @@
     site_begin(&site);
     run = start_job(&site);
     answer_last(CW_TARGET_UNKNOWN);
-    send_look(&site, run->target);
+    send_poll(&site, run->target);
     CU_ASSERT_EQUAL(last_order.wait_ms, 0);
     site_end(&site);
 }
 
-/* Whether the run had begun is all that its gang still waits for. */
+/* The gang waits only for the information whether the run had begun. */
 static void
-test_a_look_after_a_confirmed_stop_does_not_wait(void)
+test_a_poll_after_a_confirmed_stop_does_not_wait(void)
 {
     struct site site;
     struct owner_run *run;
@@ -181,14 +184,14 @@
     run->stopping = true;
     run->stop_confirmed = true;
     run->stop_confirmed_at = site.clock.now;
-    send_look(&site, run->target);
+    send_poll(&site, run->target);
     CU_ASSERT_EQUAL(last_order.wait_ms, 0);
-    run->stopping = false; /* as it was placed */
+    run->stopping = false; /* as before the test changed it */
     site_end(&site);
 }
 
 static void
-test_a_look_after_a_silence_does_not_wait(void)
+test_a_poll_after_an_unanswered_one_does_not_wait(void)
 {
     struct site site;
     struct owner_job *job;
@@ -197,11 +200,11 @@
     site_begin(&site);
     job = run_job(&site, 1, &one);
     target = step_of(job)->tasks[0].run->target;
-    send_look(&site, target);
+    send_poll(&site, target);
     CU_ASSERT_TRUE(last_order.wait_ms > 0);
     answer_last(CW_TARGET_UNKNOWN);
     CU_ASSERT_EQUAL(target->unanswered_polls, 1);
-    send_look(&site, target);
+    send_poll(&site, target);
     CU_ASSERT_EQUAL(last_order.wait_ms, 0);
     site_end(&site);
 }
@@ -211,19 +214,19 @@
 static const struct cw_step_spec pair = {
     .tasks = 2, .accelerators = 8, .gang = true};
 
-/* Looks at both members each half second for so long: the first comes on by
- * `percents` each time, the other stands where it is.  False if the gang is
- * told to stop. */
+/* Polls the workers of both members every half second for this time: the first
+ * member makes progress of `percent_step` each time, the other one none. False
+ * if the gang is stopped. */
 static bool
 goes_on_for(struct site *site, struct owner_step *step, unsigned ms,
-            unsigned percents)
+            unsigned percent_step)
 {
     for (unsigned passed = 0; passed < ms; passed += 500) {
         for (unsigned i = 0; i < step->count; i++) {
             struct owner_run *run = step->tasks[i].run;
-            unsigned percent = run->percent + (i == 0 ? percents : 0);
+            unsigned percent = run->percent + (i == 0 ? percent_step : 0);
 
-            list_run_at(site, run, MIN(percent, 100));
+            list_run_with_percent(site, run, MIN(percent, 100));
             if (run->stopping) {
                 return false;
             }
@@ -233,11 +236,12 @@
     return true;
 }
 
-/* Guards against gangs that are stopped because a member that has done its
- * share stands at 100 percent until the longest one has: up to six times in a
- * row, where a few tasks in a hundred take several times as long as others. */
+/* Guards against gangs that are stopped because a member stays at 100 percent
+ * until the longest member has done its work.  This happened up to six times
+ * in a row where a few tasks in a hundred take several times as long as
+ * others. */
 static void
-test_a_member_that_waits_for_the_longest_does_not_hang(void)
+test_a_member_that_waits_for_the_longest_is_not_stalled(void)
 {
     struct site site;
     struct owner_step *step;
@@ -251,7 +255,7 @@
 
 /* Guards against work that stays on a worker that hangs. */
 static void
-test_a_member_that_hangs_is_left(void)
+test_a_stalled_member_is_moved(void)
 {
     struct site site;
     struct owner_step *step;
@@ -264,9 +268,9 @@
     site_end(&site);
 }
 
-/* The same for a worker that hangs as its task would have ended. */
+/* The same for a worker that hangs when all members are at 100 percent. */
 static void
-test_a_gang_that_does_not_end_is_left(void)
+test_a_gang_that_does_not_end_is_stalled(void)
 {
     struct site site;
     struct owner_step *step;
@@ -279,15 +283,16 @@
     site_end(&site);
 }
 
-/* ---- room that is kept from a job ---- */
+/* ---- capacity that is withheld from a job ---- */
 
-static const struct cw_step_spec most = {.tasks = 9,
-                                         .accelerators = ACCELERATORS};
+static const struct cw_step_spec nine_workers = {.tasks = 9,
+                                                 .accelerators = ACCELERATORS};
 
-/* Passes until the job has a run; calls `keep` before each. */
+/* Runs placement passes until the job has a run, and calls `withhold` for each
+ * worker before each pass.  Returns how long that took. */
 static unsigned
 placed_after_ms(struct site *site, const struct owner_job *job,
-                void (*keep)(struct site *, struct owner_target *))
+                void (*withhold)(struct site *, struct owner_target *))
 {
     unsigned ms = 0;
 
@@ -297,7 +302,7 @@
 
         g_hash_table_iter_init(&iterator, site->owner->targets);
         while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-            keep(site, value);
+            withhold(site, value);
         }
         pass(site, STEP_MS);
     }
@@ -310,24 +315,24 @@
 {
     site_begin(site);
     set_guarantee(site, RACKS * PER_RACK * ACCELERATORS);
-    run_job(site, 0, &most);
+    run_job(site, 0, &nine_workers);
     return add_job(site, 2, like);
 }
 
-/* As if urgent work had just come in a burst. */
+/* As if urgent work had just arrived in a burst. */
 static void
-keep_for_urgent_work(struct site *site, struct owner_target *target)
+reserve_headroom(struct site *site, struct owner_target *target)
 {
-    struct owner_headroom *room =
+    struct owner_headroom *headroom =
         g_hash_table_lookup(site->owner->headroom, "s");
 
     (void)target;
-    cw_headroom_observe(&room->forecast, RACKS * PER_RACK * ACCELERATORS,
+    cw_headroom_observe(&headroom->forecast, RACKS * PER_RACK * ACCELERATORS,
                         site->clock.now);
 }
 
 static void
-keep_rack(struct site *site, struct owner_target *target)
+reserve_rack(struct site *site, struct owner_target *target)
 {
     target->rack_reserved_for = site; /* some other step */
     target->rack_reserved_priority = 1;
@@ -335,7 +340,7 @@
 }
 
 static void
-keep_suspect(struct site *site, struct owner_target *target)
+make_suspect(struct site *site, struct owner_target *target)
 {
     if (target->runs->len == 0) {
         target->incarnation.suspect_until =
@@ -345,48 +350,50 @@
 }
 
 static void
-test_nothing_keeps_room_from_a_job_for_three_seconds(void)
+test_no_capacity_is_withheld_for_three_seconds(void)
 {
-    static void (*const keepers[])(struct site *, struct owner_target *) = {
-        keep_for_urgent_work, keep_rack, keep_suspect};
+    static void (*const withholders[])(
+        struct site *, struct owner_target *) = {reserve_headroom,
+                                                 reserve_rack, make_suspect};
     static const struct cw_step_spec gang = {
         .tasks = 3, .accelerators = 4, .gang = true};
     static const struct cw_step_spec wide = {.tasks = 40, .accelerators = 1};
     const struct cw_step_spec *const steps[] = {&one, &gang, &wide};
 
-    for (unsigned k = 0; k < G_N_ELEMENTS(keepers); k++) {
+    for (unsigned k = 0; k < G_N_ELEMENTS(withholders); k++) {
         for (unsigned i = 0; i < G_N_ELEMENTS(steps); i++) {
             struct site site;
             struct owner_job *job = wait_in_full_service(&site, steps[i]);
 
-            CU_ASSERT_TRUE(placed_after_ms(&site, job, keepers[k]) <=
+            CU_ASSERT_TRUE(placed_after_ms(&site, job, withholders[k]) <=
                            PLACED_WITHIN_MS);
             site_end(&site);
         }
     }
 }
 
-/* What is kept stays kept beyond what a job needs to have anything running. */
+/* A job gets no more reserved capacity than it needs to have one task running.
+ */
 static void
-test_a_wide_job_takes_one_place_of_what_is_kept(void)
+test_a_wide_job_borrows_for_one_task_only(void)
 {
     static const struct cw_step_spec wide = {.tasks = 40, .accelerators = 1};
     struct site site;
     struct owner_job *job = wait_in_full_service(&site, &wide);
 
-    placed_after_ms(&site, job, keep_for_urgent_work);
+    placed_after_ms(&site, job, reserve_headroom);
     CU_ASSERT_EQUAL(placed(job), 1);
     site_end(&site);
 }
 
-/* A gang of four whole workers finds no rack; one of nine fits into none and
- * may be spread. */
+/* A gang that needs four whole workers in a rack cannot be placed.  One that
+ * needs nine fits into no rack and may be placed across racks. */
 static void
-test_a_gang_beyond_a_rack_does_not_wait_behind_one_that_finds_none(void)
+test_a_gang_beyond_a_rack_does_not_wait_for_one_that_needs_a_rack(void)
 {
     static const struct cw_step_spec each = {
         .tasks = 3, .accelerators = 1, .most_per_worker = 1};
-    static const struct cw_step_spec rack = {
+    static const struct cw_step_spec in_rack = {
         .tasks = 4, .accelerators = 8, .gang = true, .same_rack = true};
     static const struct cw_step_spec beyond = {
         .tasks = 9, .accelerators = 8, .gang = true, .same_rack = true};
@@ -403,7 +410,7 @@
                          owner_target_get(site.owner, workers[i]), RUN_RUNNING,
                          1);
     }
-    add_job(&site, 1, &rack);
+    add_job(&site, 1, &in_rack);
     job = add_job(&site, 1, &beyond);
     pass(&site, 10);
     CU_ASSERT_EQUAL(placed(job), 9);
@@ -411,22 +418,23 @@
 }
 
 static const struct test tests[] = {
-    {"listed", test_what_a_worker_lists_is_not_started_again},
+    {"listed", test_a_listed_run_is_not_started_again},
     {"listed, answers late",
-     test_what_a_worker_lists_is_not_stopped_for_want_of_an_answer},
-    {"reset", test_starts_that_fail_at_once_are_spread},
-    {"look for a start",
-     test_a_look_for_a_start_without_an_answer_does_not_wait},
-    {"look after a stop", test_a_look_after_a_confirmed_stop_does_not_wait},
-    {"look after a silence", test_a_look_after_a_silence_does_not_wait},
+     test_a_listed_run_is_not_stopped_without_an_answer},
+    {"reset", test_starts_that_fail_at_once_are_delayed},
+    {"poll for a start",
+     test_a_poll_for_a_start_without_an_answer_does_not_wait},
+    {"poll after a stop", test_a_poll_after_a_confirmed_stop_does_not_wait},
+    {"poll after an unanswered one",
+     test_a_poll_after_an_unanswered_one_does_not_wait},
     {"waits for the longest",
-     test_a_member_that_waits_for_the_longest_does_not_hang},
-    {"hangs", test_a_member_that_hangs_is_left},
-    {"does not end", test_a_gang_that_does_not_end_is_left},
-    {"kept room", test_nothing_keeps_room_from_a_job_for_three_seconds},
-    {"one place", test_a_wide_job_takes_one_place_of_what_is_kept},
+     test_a_member_that_waits_for_the_longest_is_not_stalled},
+    {"stalled", test_a_stalled_member_is_moved},
+    {"does not end", test_a_gang_that_does_not_end_is_stalled},
+    {"withheld capacity", test_no_capacity_is_withheld_for_three_seconds},
+    {"one task", test_a_wide_job_borrows_for_one_task_only},
     {"beyond a rack",
-     test_a_gang_beyond_a_rack_does_not_wait_behind_one_that_finds_none},
+     test_a_gang_beyond_a_rack_does_not_wait_for_one_that_needs_a_rack},
 };
 
-TEST_MAIN("still", tests)
+TEST_MAIN("idle_causes", tests)
--- a/tests/test_idle_jobs.c
+++ b/tests/test_idle_jobs.c
@@ -1,19 +1,19 @@
-/* Work that could run and does not.
+/* Idle jobs: work that could run and does not.
  *
- * Seen: with nothing else to do, a gang that belongs into one rack waited for
- * 7 s, and was shown as waiting though three racks were idle.
- * How: a job whose tasks all fail by its own fault had two of them on a worker
- * of each rack; a worker on which two tasks fail in a row is avoided for 7 s.
- * Cause: tasks of one job counted as two opinions of the worker.
- * Proof: the first test below, and the emulator's calm day 900022. */
+ * Guards against workers that are avoided because several tasks of one job
+ * failed there.  A worker on which tasks of two jobs fail in a row is avoided
+ * for 7 s.  When two tasks of one job were counted like that, a job whose
+ * tasks all fail by its own fault blocked a worker of each rack, and a gang
+ * that needs one rack waited for 7 s although three racks were idle (the
+ * emulator's calm day 900022). */
 #include "test_main.h"
 
 #include "owner/internal/owner_crashes.h"
 #include "owner_site.h"
 
 static const struct cw_step_spec two = {.tasks = 2, .accelerators = 4};
-static const struct cw_step_spec all_there = {.tasks = RACKS * PER_RACK,
-                                              .accelerators = ACCELERATORS};
+static const struct cw_step_spec all_workers = {.tasks = RACKS * PER_RACK,
+                                                .accelerators = ACCELERATORS};
 
 /* The worker lists a task as failed. */
 static void
@@ -37,7 +37,7 @@
 }
 
 static void
-test_one_job_that_fails_holds_no_worker_back(void)
+test_failures_of_one_job_do_not_exclude_a_worker(void)
 {
     struct site site;
     struct owner_target *target;
@@ -53,7 +53,7 @@
 }
 
 static void
-test_two_jobs_that_fail_do(void)
+test_failures_of_two_jobs_exclude_a_worker(void)
 {
     struct site site;
     struct owner_target *target;
@@ -66,11 +66,11 @@
     site_end(&site);
 }
 
-/* ---- that it shows ---- */
+/* ---- detection of idle jobs ---- */
 
-/* Lets time pass without placement. */
+/* Lets time pass without placement, then checks for idle jobs. */
 static struct cw_owner_stats
-look_after(struct site *site, unsigned ms)
+check_after(struct site *site, unsigned ms)
 {
     struct cw_owner_stats stats;
 
@@ -82,114 +82,115 @@
 }
 
 static void
-test_a_job_that_is_not_placed_shows_after_three_seconds(void)
+test_an_unplaced_job_is_reported_after_three_seconds(void)
 {
     struct site site;
     struct cw_owner_stats stats;
 
     site_begin(&site);
     add_job(&site, 1, &two);
-    CU_ASSERT_EQUAL(look_after(&site, 2900).waiting, 0);
-    stats = look_after(&site, 600);
+    CU_ASSERT_EQUAL(check_after(&site, 2900).waiting, 0);
+    stats = check_after(&site, 600);
     CU_ASSERT_EQUAL(stats.waiting, 1);
     CU_ASSERT_EQUAL(stats.longest_wait_ms, 3500);
     site_end(&site);
 }
 
-/* The owner believes that it runs; no worker has listed it for seconds. */
+/* The owner assumes that the job runs, but no worker has listed it for
+ * seconds. */
 static void
-test_a_run_that_no_worker_lists_shows(void)
+test_an_unlisted_run_is_reported(void)
 {
     struct site site;
 
     site_begin(&site);
     run_job(&site, 1, &two);
-    CU_ASSERT_EQUAL(look_after(&site, 3500).waiting, 1);
+    CU_ASSERT_EQUAL(check_after(&site, 3500).waiting, 1);
     site_end(&site);
 }
 
 static void
-test_a_job_that_waits_for_room_does_not_show(void)
+test_a_job_without_free_capacity_is_not_reported(void)
 {
     struct site site;
 
     site_begin(&site);
-    run_job(&site, 0, &all_there);
+    run_job(&site, 0, &all_workers);
     add_job(&site, 1, &two);
-    CU_ASSERT_EQUAL(look_after(&site, 3500).waiting, 0);
+    CU_ASSERT_EQUAL(check_after(&site, 3500).waiting, 0);
     site_end(&site);
 }
 
-/* Most of the service is in use, but what the job needs is free twice. */
+/* Most of the service is in use, but twice what the job needs is free. */
 static void
-test_a_job_that_waits_beside_free_room_shows(void)
+test_a_job_with_free_capacity_is_reported(void)
 {
-    static const struct cw_step_spec most = {.tasks = 9,
-                                             .accelerators = ACCELERATORS};
+    static const struct cw_step_spec most_workers = {
+        .tasks = 9, .accelerators = ACCELERATORS};
     static const struct cw_step_spec gang = {
         .tasks = 2, .accelerators = ACCELERATORS, .gang = true};
     struct site site;
     struct owner_job *running;
 
     site_begin(&site);
-    running = run_job(&site, 0, &most);
+    running = run_job(&site, 0, &most_workers);
     add_job(&site, 1, &two);
-    CU_ASSERT_EQUAL(look_after(&site, 2900).waiting, 0);
+    CU_ASSERT_EQUAL(check_after(&site, 2900).waiting, 0);
     owner_idle_end(site.owner, running);
-    CU_ASSERT_EQUAL(look_after(&site, 600).waiting, 1);
+    CU_ASSERT_EQUAL(check_after(&site, 600).waiting, 1);
     /* Three workers are free: one gang of two fits, not two. */
     add_job(&site, 1, &gang);
     site.clock.now = cw_time_add_ms(site.clock.now, 3500);
     owner_idle_end(site.owner, running);
-    CU_ASSERT_EQUAL(look_after(&site, 500).waiting, 1);
+    CU_ASSERT_EQUAL(check_after(&site, 500).waiting, 1);
     site_end(&site);
 }
 
-/* Guards against counting the time in which a job waited for room as time in
- * which it waited beside room. */
+/* Guards against counting time in which a job waited for free capacity as time
+ * in which there was free capacity. */
 static void
-test_time_beside_room_begins_when_there_is_room(void)
+test_only_time_with_free_capacity_counts(void)
 {
-    static const struct cw_step_spec most = {.tasks = 11,
-                                             .accelerators = ACCELERATORS};
+    static const struct cw_step_spec most_workers = {
+        .tasks = 11, .accelerators = ACCELERATORS};
     struct site site;
     struct owner_job *running;
     struct owner_job *job;
 
     site_begin(&site);
-    running = run_job(&site, 0, &most);
-    job = add_job(&site, 1, &all_there);
-    look_after(&site, 3500);
+    running = run_job(&site, 0, &most_workers);
+    job = add_job(&site, 1, &all_workers);
+    check_after(&site, 3500);
     CU_ASSERT_EQUAL(job->idle.clock.free_since.tv_sec, 0);
     owner_run_drop(site.owner, step_of(running)->tasks[0].run);
-    look_after(&site, 500);
-    look_after(&site, 1000);
+    check_after(&site, 500);
+    check_after(&site, 1000);
     CU_ASSERT_EQUAL(
         cw_time_diff_ms(job->idle.clock.free_since, site.clock.now), 1000);
     site_end(&site);
 }
 
-/* Each task that lasts counts by itself, from 6 s after its last run. */
+/* Each endless task counts separately, from 6 s after its last run. */
 static void
-test_a_task_that_lasts_shows_beside_others_of_its_job(void)
+test_an_endless_task_is_reported_while_others_run(void)
 {
-    static const struct cw_step_spec lasting = {
+    static const struct cw_step_spec endless_tasks = {
         .tasks = 2, .accelerators = 4, .endless = true};
     struct site site;
     struct owner_job *job;
 
     site_begin(&site);
-    job = run_job(&site, 1, &lasting);
+    job = run_job(&site, 1, &endless_tasks);
     owner_run_drop(site.owner, step_of(job)->tasks[0].run);
     site.clock.now = cw_time_add_ms(site.clock.now, 5000);
     owner_idle_end(site.owner, job); /* the other one is listed */
-    CU_ASSERT_EQUAL(look_after(&site, 900).waiting, 0);
-    CU_ASSERT_EQUAL(look_after(&site, 600).waiting, 1);
+    CU_ASSERT_EQUAL(check_after(&site, 900).waiting, 0);
+    CU_ASSERT_EQUAL(check_after(&site, 600).waiting, 1);
     site_end(&site);
 }
 
 static void
-test_a_task_that_loses_its_runs_shows(void)
+test_a_task_that_loses_its_runs_is_reported(void)
 {
     struct site site;
     struct owner_job *job;
@@ -197,43 +198,44 @@
     site_begin(&site);
     job = add_job(&site, 1, &two);
     for (unsigned i = 0; i < 3; i++) {
-        CU_ASSERT_EQUAL(look_after(&site, 500).repeating, 0);
+        CU_ASSERT_EQUAL(check_after(&site, 500).repeating, 0);
         pass(&site, 10);
         owner_run_lost(site.owner, step_of(job)->tasks[0].run, true,
                        "not_listed");
     }
-    CU_ASSERT_EQUAL(look_after(&site, 500).repeating, 1);
+    CU_ASSERT_EQUAL(check_after(&site, 500).repeating, 1);
     site_end(&site);
 }
 
-/* Guards against a VM that was frozen, or cut off from the store, and tells of
- * jobs that wait by what it knew before: another may have run them. */
+/* Guards against false reports by a VM that was frozen or cut off from the
+ * store: another VM may be the owner and have run the jobs that this one still
+ * knows as waiting. */
 static void
-test_an_owner_without_proof_tells_of_no_waits(void)
+test_an_unconfirmed_owner_reports_no_idle_jobs(void)
 {
     struct site site;
 
     site_begin(&site);
     (void)add_job(&site, 1, &two);
-    CU_ASSERT_EQUAL(look_after(&site, 3500).waiting, 1);
+    CU_ASSERT_EQUAL(check_after(&site, 3500).waiting, 1);
     site.clock.now = cw_time_add_ms(site.clock.now, 8000);
     owner_idle_tick(site.owner, site.clock.now);
     CU_ASSERT_EQUAL(site.owner->waits.jobs, 0);
-    CU_ASSERT_EQUAL(look_after(&site, 600).waiting, 1);
+    CU_ASSERT_EQUAL(check_after(&site, 600).waiting, 1);
     site_end(&site);
 }
 
 static const struct test tests[] = {
-    {"no proof", test_an_owner_without_proof_tells_of_no_waits},
-    {"one job's failures", test_one_job_that_fails_holds_no_worker_back},
-    {"two jobs' failures", test_two_jobs_that_fail_do},
-    {"not placed", test_a_job_that_is_not_placed_shows_after_three_seconds},
-    {"not listed", test_a_run_that_no_worker_lists_shows},
-    {"no room", test_a_job_that_waits_for_room_does_not_show},
-    {"beside free room", test_a_job_that_waits_beside_free_room_shows},
-    {"time beside room", test_time_beside_room_begins_when_there_is_room},
-    {"lasting", test_a_task_that_lasts_shows_beside_others_of_its_job},
-    {"repeating", test_a_task_that_loses_its_runs_shows},
+    {"unconfirmed owner", test_an_unconfirmed_owner_reports_no_idle_jobs},
+    {"one job's failures", test_failures_of_one_job_do_not_exclude_a_worker},
+    {"two jobs' failures", test_failures_of_two_jobs_exclude_a_worker},
+    {"not placed", test_an_unplaced_job_is_reported_after_three_seconds},
+    {"not listed", test_an_unlisted_run_is_reported},
+    {"no free capacity", test_a_job_without_free_capacity_is_not_reported},
+    {"free capacity", test_a_job_with_free_capacity_is_reported},
+    {"time with free capacity", test_only_time_with_free_capacity_counts},
+    {"endless task", test_an_endless_task_is_reported_while_others_run},
+    {"repeating", test_a_task_that_loses_its_runs_is_reported},
 };
 
-TEST_MAIN("waits", tests)
+TEST_MAIN("idle_jobs", tests)
--- a/tests/test_moves.c
+++ b/tests/test_moves.c
@@ -1,4 +1,4 @@
-/* Runs that the owner takes from their workers by its own judgement. */
+/* Runs that the owner evicts from slow workers. */
 #include "test_main.h"
 
 #include "owner_site.h"
@@ -11,9 +11,10 @@
 static const struct cw_step_spec rest = {.tasks = RACKS * PER_RACK - MEMBERS,
                                          .accelerators = ACCELERATORS};
 
-/* The run has come on by one percent in a second, and by twenty before. */
+/* The run has done one percent in the last second, and twenty percent per
+ * second before. */
 static void
-turn_slow(struct site *site, struct owner_run *run)
+make_slow(struct site *site, struct owner_run *run)
 {
     run->percent = SLOW_PERCENT - 1;
     run->best_rate = 20;
@@ -36,10 +37,10 @@
     return count;
 }
 
-/* Guards against gangs that are stopped and then wait for a place, while they
- * would have gone on where they were. */
+/* Guards against gangs that are stopped and then wait for free capacity, while
+ * they could have gone on where they were. */
 static void
-test_a_gang_without_room_elsewhere_is_not_stopped(void)
+test_a_gang_without_capacity_elsewhere_is_not_stopped(void)
 {
     struct site site;
     struct owner_job *job;
@@ -48,14 +49,14 @@
     set_guarantee(&site, 0);
     job = run_job(&site, 1, &gang);
     run_job(&site, 0, &rest);
-    turn_slow(&site, step_of(job)->tasks[0].run);
+    make_slow(&site, step_of(job)->tasks[0].run);
     CU_ASSERT_EQUAL(stopping(job), 0);
     site_end(&site);
 }
 
-/* Guards against work that stays on a slow worker beside free ones. */
+/* Guards against work that stays on a slow worker while others are free. */
 static void
-test_a_gang_with_room_elsewhere_is_moved(void)
+test_a_gang_with_capacity_elsewhere_is_moved(void)
 {
     struct site site;
     struct owner_job *job;
@@ -63,36 +64,36 @@
     site_begin(&site);
     set_guarantee(&site, 0);
     job = run_job(&site, 1, &gang);
-    turn_slow(&site, step_of(job)->tasks[0].run);
+    make_slow(&site, step_of(job)->tasks[0].run);
     CU_ASSERT_EQUAL(stopping(job), MEMBERS);
     site_end(&site);
 }
 
-/* Guards against gangs that are stopped for a place that they may not take: it
- * is kept for urgent work. */
+/* Guards against gangs that are stopped for capacity that they may not use, as
+ * it is headroom for urgent work. */
 static void
-test_a_gang_is_not_stopped_for_kept_room(void)
+test_a_gang_is_not_stopped_for_headroom(void)
 {
     struct site site;
     struct owner_job *job;
-    struct owner_headroom *room;
+    struct owner_headroom *headroom;
 
     site_begin(&site);
     set_guarantee(&site, 0);
     job = run_job(&site, 1, &gang);
     set_guarantee(&site, RACKS * PER_RACK * ACCELERATORS);
-    room = g_hash_table_lookup(site.owner->headroom, "s");
-    cw_headroom_observe(&room->forecast, RACKS * PER_RACK * ACCELERATORS,
+    headroom = g_hash_table_lookup(site.owner->headroom, "s");
+    cw_headroom_observe(&headroom->forecast, RACKS * PER_RACK * ACCELERATORS,
                         site.clock.now);
     pass(&site, 10);
-    turn_slow(&site, step_of(job)->tasks[0].run);
+    make_slow(&site, step_of(job)->tasks[0].run);
     CU_ASSERT_EQUAL(stopping(job), 0);
     site_end(&site);
 }
 
-/* A single task needs one place, and its worker's own is none. */
+/* A single task is moved only if it fits on another worker. */
 static void
-test_a_task_is_moved_only_beside_a_free_place(void)
+test_a_task_is_moved_only_to_another_free_worker(void)
 {
     static const struct cw_step_spec one = {.tasks = 1,
                                             .accelerators = ACCELERATORS};
@@ -106,16 +107,16 @@
     set_guarantee(&site, 0);
     job = run_job(&site, 1, &one);
     urgent = run_job(&site, 0, &others);
-    turn_slow(&site, step_of(job)->tasks[0].run);
+    make_slow(&site, step_of(job)->tasks[0].run);
     CU_ASSERT_EQUAL(stopping(job), 0);
     owner_run_drop(site.owner, step_of(urgent)->tasks[0].run);
-    turn_slow(&site, step_of(job)->tasks[0].run);
+    make_slow(&site, step_of(job)->tasks[0].run);
     CU_ASSERT_EQUAL(stopping(job), 1);
     site_end(&site);
 }
 
-/* Guards against a gang that belongs into one rack and is stopped for room
- * that lies across racks. */
+/* Guards against a gang that needs one rack and is stopped for free capacity
+ * that is distributed over several. */
 static void
 test_a_gang_that_needs_a_rack_is_moved_only_into_one(void)
 {
@@ -140,19 +141,20 @@
                          1);
     }
     CU_ASSERT_STRING_EQUAL(worker_of(job, 0)->rack, "r0");
-    turn_slow(&site, step_of(job)->tasks[0].run);
+    make_slow(&site, step_of(job)->tasks[0].run);
     CU_ASSERT_EQUAL(stopping(job), 0);
     owner_run_drop(site.owner, step_of(small)->tasks[0].run);
-    turn_slow(&site, step_of(job)->tasks[0].run);
+    make_slow(&site, step_of(job)->tasks[0].run);
     CU_ASSERT_EQUAL(stopping(job), PER_RACK - 1);
     site_end(&site);
 }
 
 static const struct test tests[] = {
-    {"no room", test_a_gang_without_room_elsewhere_is_not_stopped},
-    {"room", test_a_gang_with_room_elsewhere_is_moved},
-    {"kept room", test_a_gang_is_not_stopped_for_kept_room},
-    {"single", test_a_task_is_moved_only_beside_a_free_place},
+    {"no capacity elsewhere",
+     test_a_gang_without_capacity_elsewhere_is_not_stopped},
+    {"room", test_a_gang_with_capacity_elsewhere_is_moved},
+    {"headroom", test_a_gang_is_not_stopped_for_headroom},
+    {"single", test_a_task_is_moved_only_to_another_free_worker},
     {"rack", test_a_gang_that_needs_a_rack_is_moved_only_into_one},
 };
 
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -22,7 +22,7 @@
         CU_ASSERT_STRING_EQUAL(worker_of(job, i)->rack,
                                worker_of(job, 0)->rack);
     }
-    /* A task in each other rack leaves no rack whole. */
+    /* With a task in each other rack, no rack is idle. */
     step_of(run_job(&site, 1, &one));
     run_job(&site, 1, &(struct cw_step_spec){.tasks = 1, .accelerators = 8});
     job = add_job(&site, 1, &gang);
@@ -32,7 +32,7 @@
 }
 
 static void
-test_urgent_work_within_its_guarantee_makes_others_leave(void)
+test_urgent_work_within_its_guarantee_preempts_others(void)
 {
     const struct cw_step_spec all = {
         .tasks = RACKS * PER_RACK, .accelerators = 8, .checkpoints = true};
@@ -57,7 +57,7 @@
         stopping += step_of(low)->tasks[i].run->stopping;
     }
     CU_ASSERT_EQUAL(stopping, 2); /* no more than needed */
-    /* Its place is free once they have ended. */
+    /* Its runs can start once the others have ended. */
     CU_ASSERT_EQUAL(step_of(urgent)->tasks[0].run->phase, RUN_RESERVED);
     for (unsigned i = 0; i < step_of(low)->count; i++) {
         if (step_of(low)->tasks[i].run->stopping) {
@@ -70,7 +70,7 @@
 }
 
 static void
-test_the_cheapest_work_gives_way(void)
+test_the_cheapest_work_is_preempted(void)
 {
     const struct cw_step_spec plain = {.tasks = 6, .accelerators = 8};
     const struct cw_step_spec saves = {
@@ -86,7 +86,7 @@
     lossy = run_job(&site, 2, &plain);
     cheap = run_job(&site, 1, &saves);
     pass(&site, 5000);
-    for (unsigned i = 0; i < 6; i++) { /* a checkpoint a moment ago */
+    for (unsigned i = 0; i < 6; i++) { /* a checkpoint was just saved */
         step_of(cheap)->tasks[i].run->saved_at = site.clock.now;
     }
     add_job(&site, 0, &one);
@@ -101,7 +101,7 @@
 }
 
 static void
-test_lower_work_leaves_room_for_urgent_work(void)
+test_lower_priority_work_leaves_headroom(void)
 {
     const struct cw_step_spec burst = {.tasks = 4, .accelerators = 8};
     const struct cw_step_spec flood = {.tasks = 96, .accelerators = 1};
@@ -127,7 +127,7 @@
 }
 
 static void
-test_a_rack_is_kept_clear_for_a_gang_that_waits(void)
+test_a_rack_is_reserved_for_a_waiting_gang(void)
 {
     const struct cw_step_spec fill = {.tasks = 24, .accelerators = 4};
     const struct cw_step_spec gang = {
@@ -147,7 +147,8 @@
     pass(&site, 2000);
     CU_ASSERT_EQUAL(placed(waits), 0);
     low = add_job(&site, 2, &small);
-    /* One rack empties, task by task; the gang gets it. */
+    /* The tasks in the reserved rack end one by one; the gang gets the rack.
+     */
     for (unsigned i = 0; i < step_of(before)->count; i++) {
         struct owner_run *run = step_of(before)->tasks[i].run;
 
@@ -166,7 +167,7 @@
 }
 
 static void
-test_workers_that_are_not_to_be_used_are_not(void)
+test_unusable_workers_get_no_work(void)
 {
     const struct cw_step_spec all = {.tasks = 12, .accelerators = 8};
     const struct cw_step_spec none = {.tasks = 2, .accelerators = 9};
@@ -194,14 +195,15 @@
     CU_ASSERT_EQUAL(placed(job), 6);
     pass(&site, 5000);
     CU_ASSERT_EQUAL(placed(job), 7);
-    pass(&site, 2500); /* suspicion ends */
+    pass(&site, 2500); /* the failures are no longer counted */
     CU_ASSERT_EQUAL(placed(job), 8);
     site_end(&site);
 }
 
-/* Many tasks fail by their own fault, each time, wherever they run. */
+/* Guards against workers that are avoided for one task that fails on every
+ * worker by its own fault. */
 static void
-test_one_failing_task_takes_no_worker_away(void)
+test_one_failing_task_does_not_exclude_workers(void)
 {
     const struct cw_step_spec all = {.tasks = 12, .accelerators = 8};
     struct site site;
@@ -230,11 +232,12 @@
     site_end(&site);
 }
 
-/* The pattern: an urgent gang on a full service.  A gang that gives way for
- * its first task leaves several workers, and what the others then cost is
- * counted anew: no second gang has to go. */
+/* Guards against preempting more gangs than needed in a full service.  A gang
+ * that is preempted for the first task of an urgent gang frees several
+ * workers.  The costs of the other tasks have to be computed again after that:
+ * then no second gang is preempted. */
 static void
-test_what_leaves_for_one_task_serves_the_next(void)
+test_preempted_gang_serves_several_tasks(void)
 {
     const struct cw_step_spec lower = {
         .tasks = 4, .accelerators = 8, .gang = true};
@@ -261,7 +264,7 @@
 }
 
 static void
-test_labels_and_spread_are_kept(void)
+test_label_and_limit_per_worker_are_respected(void)
 {
     const struct cw_step_spec spread = {.tasks = 8,
                                         .accelerators = 1,
@@ -284,11 +287,12 @@
 static const struct cw_step_spec whole_workers = {
     .tasks = 3, .accelerators = 8, .gang = true};
 
-/* All members come on by `percents` each half second, four times; the first
- * by `first`. */
+/* Reports the progress of all members four times, every half second: first
+ * their present one, then each time `percents` more, for the first member
+ * `first` more. */
 static void
-come_on(struct site *site, struct owner_step *step, unsigned percents,
-        unsigned first)
+report_progress(struct site *site, struct owner_step *step, unsigned percent,
+                unsigned first_percent)
 {
     unsigned from = step->tasks[0].run->percent;
 
@@ -297,16 +301,16 @@
         for (unsigned i = 0; i < step->count; i++) {
             struct owner_run *run = step->tasks[i].run;
 
-            run->percent = from + turn * (i == 0 ? first : percents);
+            run->percent = from + turn * (i == 0 ? first_percent : percent);
             owner_speed_observe(site->owner, run, run->percent,
                                 site->clock.now);
         }
     }
 }
 
-/* Guards against work that is left on a worker that has turned slow. */
+/* Guards against work that stays on a worker that has become slow. */
 static void
-test_a_member_that_turns_slow_shows_its_worker(void)
+test_a_member_that_becomes_slow_shows_a_slow_worker(void)
 {
     struct site site;
     struct owner_job *job;
@@ -316,19 +320,19 @@
     set_guarantee(&site, 0);
     job = run_job(&site, 1, &whole_workers);
     step = step_of(job);
-    come_on(&site, step, 10, 10);
+    report_progress(&site, step, 10, 10);
     CU_ASSERT_TRUE(owner_target_usable(worker_of(job, 0), site.clock.now));
-    come_on(&site, step, 10, 1);
+    report_progress(&site, step, 10, 1);
     CU_ASSERT_FALSE(owner_target_usable(worker_of(job, 0), site.clock.now));
     CU_ASSERT_TRUE(owner_target_usable(worker_of(job, 1), site.clock.now));
-    CU_ASSERT_TRUE(step->tasks[0].run->stopping); /* a restart pays */
+    CU_ASSERT_TRUE(step->tasks[0].run->stopping); /* restart is worthwhile */
     site_end(&site);
 }
 
-/* Guards against gangs that are stopped because one of their tasks is several
- * times as long as the others. */
+/* Guards against gangs that are stopped because one of their tasks takes
+ * several times as long as the others. */
 static void
-test_a_long_member_does_not_show_its_worker(void)
+test_a_long_member_does_not_show_a_slow_worker(void)
 {
     struct site site;
     struct owner_job *job;
@@ -336,16 +340,16 @@
     site_begin(&site);
     set_guarantee(&site, 0);
     job = run_job(&site, 1, &whole_workers);
-    come_on(&site, step_of(job), 21, 3);
+    report_progress(&site, step_of(job), 21, 3);
     CU_ASSERT_TRUE(owner_target_usable(worker_of(job, 0), site.clock.now));
     CU_ASSERT_FALSE(step_of(job)->tasks[0].run->stopping);
     site_end(&site);
 }
 
-/* Guards against a worker that was slow before its work began, and holds up
- * one job after the other. */
+/* Guards against a worker that was slow before its work began, and delays one
+ * job after another. */
 static void
-test_slow_members_of_two_jobs_show_their_worker(void)
+test_slow_members_of_two_jobs_show_a_slow_worker(void)
 {
     static const struct cw_step_spec halves = {
         .tasks = 3, .accelerators = 4, .gang = true, .most_per_worker = 1};
@@ -356,7 +360,7 @@
     set_guarantee(&site, 0);
     for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
         jobs[i] = run_job(&site, 1, &halves);
-        come_on(&site, step_of(jobs[i]), 20, 2);
+        report_progress(&site, step_of(jobs[i]), 20, 2);
     }
     CU_ASSERT_PTR_EQUAL(worker_of(jobs[0], 0), worker_of(jobs[1], 0));
     CU_ASSERT_FALSE(step_of(jobs[0])->tasks[0].run->stopping);
@@ -366,10 +370,11 @@
     site_end(&site);
 }
 
-/* Guards against workers of two thirds of the others' speed that are neither
- * taken for slow nor known to be what they are. */
+/* Guards against workers that always have two thirds of the others' speed:
+ * they are not avoided as slow, and without a learnt speed they would be
+ * treated as equally fast. */
 static void
-test_a_lasting_difference_is_learnt(void)
+test_a_permanent_speed_difference_is_learnt(void)
 {
     struct site site;
     struct owner_job *job;
@@ -377,16 +382,17 @@
     site_begin(&site);
     set_guarantee(&site, 0);
     job = run_job(&site, 1, &whole_workers);
-    come_on(&site, step_of(job), 20, 11);
+    report_progress(&site, step_of(job), 20, 11);
     CU_ASSERT_TRUE(worker_of(job, 0)->incarnation.speed < 0.8);
     CU_ASSERT_TRUE(owner_target_usable(worker_of(job, 0), site.clock.now));
     site_end(&site);
 }
 
 /* Guards against urgent work that is late because it runs on slow workers
- * while faster ones are idle; lower work leaves these to it. */
+ * while faster ones are idle.  Lower-priority work does not use the fastest.
+ */
 static void
-test_urgent_work_goes_to_the_fastest(void)
+test_urgent_work_gets_the_fastest_workers(void)
 {
     static const struct cw_step_spec small = {.tasks = 1, .accelerators = 1};
     static const struct cw_step_spec gang = {
@@ -441,7 +447,7 @@
 
     site_begin(&site);
     job = add_job(&site, 1, &one);
-    /* As if it had been handed in with three times to run. */
+    /* As if it had been submitted with three occurrences. */
     spec = (struct cw_work_spec *)job->spec;
     spec->repeats = 3;
     spec->first_due_ms = START_MS;
@@ -488,12 +494,12 @@
     pass(&site, 10);
     send_job_start(&site, job);
     answer_last(CW_TARGET_NO_CAPACITY);
-    CU_ASSERT_EQUAL(placed(job), 0); /* nothing can come any more */
+    CU_ASSERT_EQUAL(placed(job), 0); /* no start can arrive any more */
     site_end(&site);
 }
 
 static void
-test_a_gang_that_loses_places_does_not_begin_with_the_others(void)
+test_a_gang_that_loses_members_does_not_start_the_others(void)
 {
     struct site site;
     struct owner_job *job;
@@ -519,7 +525,7 @@
 }
 
 static void
-test_a_guarantee_is_reclaimed_from_equally_urgent_work(void)
+test_a_guarantee_preempts_equally_urgent_work(void)
 {
     const struct cw_step_spec all = {.tasks = 12, .accelerators = 8};
     const struct cw_step_spec four = {.tasks = 4, .accelerators = 8};
@@ -543,27 +549,27 @@
 }
 
 static const struct test tests[] = {
-    {"equally urgent", test_a_guarantee_is_reclaimed_from_equally_urgent_work},
-    {"gang that loses places",
-     test_a_gang_that_loses_places_does_not_begin_with_the_others},
+    {"equally urgent", test_a_guarantee_preempts_equally_urgent_work},
+    {"gang that loses members",
+     test_a_gang_that_loses_members_does_not_start_the_others},
     {"refused start",
      test_a_refused_start_is_stopped_if_an_earlier_one_had_no_answer},
     {"checkpoint", test_a_lost_run_resumes_from_its_last_checkpoint},
     {"occurrences", test_occurrences_open_when_they_are_due},
     {"one rack", test_a_gang_takes_one_rack_or_waits},
-    {"guarantee", test_urgent_work_within_its_guarantee_makes_others_leave},
-    {"cheapest", test_the_cheapest_work_gives_way},
-    {"serves the next", test_what_leaves_for_one_task_serves_the_next},
-    {"headroom", test_lower_work_leaves_room_for_urgent_work},
-    {"kept clear", test_a_rack_is_kept_clear_for_a_gang_that_waits},
-    {"not to be used", test_workers_that_are_not_to_be_used_are_not},
-    {"labels", test_labels_and_spread_are_kept},
-    {"failing task", test_one_failing_task_takes_no_worker_away},
-    {"turned slow", test_a_member_that_turns_slow_shows_its_worker},
-    {"long member", test_a_long_member_does_not_show_its_worker},
-    {"slow twice", test_slow_members_of_two_jobs_show_their_worker},
-    {"lasting difference", test_a_lasting_difference_is_learnt},
-    {"fastest", test_urgent_work_goes_to_the_fastest},
+    {"guarantee", test_urgent_work_within_its_guarantee_preempts_others},
+    {"cheapest", test_the_cheapest_work_is_preempted},
+    {"one gang for several tasks", test_preempted_gang_serves_several_tasks},
+    {"headroom", test_lower_priority_work_leaves_headroom},
+    {"reserved rack", test_a_rack_is_reserved_for_a_waiting_gang},
+    {"unusable workers", test_unusable_workers_get_no_work},
+    {"labels", test_label_and_limit_per_worker_are_respected},
+    {"failing task", test_one_failing_task_does_not_exclude_workers},
+    {"becomes slow", test_a_member_that_becomes_slow_shows_a_slow_worker},
+    {"long member", test_a_long_member_does_not_show_a_slow_worker},
+    {"slow in two jobs", test_slow_members_of_two_jobs_show_a_slow_worker},
+    {"permanent difference", test_a_permanent_speed_difference_is_learnt},
+    {"fastest", test_urgent_work_gets_the_fastest_workers},
 };
 
 TEST_MAIN("place", tests)
--- a/tests/test_polls.c
+++ b/tests/test_polls.c
@@ -1,9 +1,10 @@
-/* Looks at idle workers, bounded however many there are. */
+/* Polls of idle workers: their rate and number are limited, however many
+ * workers there are. */
 #include "test_main.h"
 
 #include "owner_site.h"
 
-enum { MANY = 600, LOOKS_MOST = 100 };
+enum { MANY_WORKERS = 600, POLLS_MAX = 100 };
 
 /* Orders that were sent, each to be answered once. */
 static GArray *orders;
@@ -62,9 +63,9 @@
     }
 }
 
-/* As if each had been looked at just now. */
+/* As if each worker had been polled just now. */
 static void
-set_looked_at(struct site *site)
+set_polled(struct site *site)
 {
     GHashTableIter iterator;
     gpointer value;
@@ -76,49 +77,49 @@
 }
 
 static void
-test_so_many_at_a_time(void)
+test_polls_in_flight_are_limited(void)
 {
     struct site site;
 
     site_begin_counting(&site);
-    for (unsigned i = RACKS * PER_RACK; i < MANY; i++) {
+    for (unsigned i = RACKS * PER_RACK; i < MANY_WORKERS; i++) {
         add_worker(&site, i);
     }
-    tick_all(&site, 8000); /* longer than any look's pace */
-    CU_ASSERT_EQUAL(orders->len, LOOKS_MOST);
+    tick_all(&site, 8000); /* longer than the interval of polls */
+    CU_ASSERT_EQUAL(orders->len, POLLS_MAX);
     answer(CW_TARGET_OK);
     tick_all(&site, 1);
-    CU_ASSERT_EQUAL(orders->len, LOOKS_MOST); /* another one */
+    CU_ASSERT_EQUAL(orders->len, POLLS_MAX); /* one more was sent */
     site_end_counting(&site);
 }
 
 static void
-test_less_often_with_more_workers(void)
+test_more_workers_are_polled_less_often(void)
 {
     struct site few;
     struct site many;
 
     site_begin_counting(&few);
-    set_looked_at(&few);
+    set_polled(&few);
     tick_all(&few, 3000);
     CU_ASSERT_EQUAL(orders->len, RACKS * PER_RACK);
     site_end_counting(&few);
     site_begin_counting(&many);
-    for (unsigned i = RACKS * PER_RACK; i < MANY; i++) {
+    for (unsigned i = RACKS * PER_RACK; i < MANY_WORKERS; i++) {
         add_worker(&many, i);
     }
     many.owner->takeover_began_at = many.clock.now;
-    set_looked_at(&many);
+    set_polled(&many);
     tick_all(&many, 3000);
     CU_ASSERT_EQUAL(orders->len, 0);
     tick_all(&many, 1500);
-    CU_ASSERT_EQUAL(orders->len, LOOKS_MOST);
+    CU_ASSERT_EQUAL(orders->len, POLLS_MAX);
     site_end_counting(&many);
 }
 
 static const struct test tests[] = {
-    {"so many at a time", test_so_many_at_a_time},
-    {"less often with more workers", test_less_often_with_more_workers},
+    {"polls in flight", test_polls_in_flight_are_limited},
+    {"more workers", test_more_workers_are_polled_less_often},
 };
 
-TEST_MAIN("holds", tests)
+TEST_MAIN("polls", tests)
--- a/tests/test_residency.c
+++ b/tests/test_residency.c
@@ -1,16 +1,16 @@
-/* Work runs only where its data may live. */
+/* Data residency: work runs only in data centres that its account allows. */
 #include "test_main.h"
 
 #include "owner_site.h"
 
 static void
-site_begin_apart(struct site *site)
+site_begin_in_dcs(struct site *site)
 {
     site_begin(site);
     site_put_racks_in_dcs(site);
 }
 
-/* The account may be in `dc` only; NULL: the account is gone. */
+/* Configures that the account may use only `dc`; NULL: removes the account. */
 static void
 confine(struct site *site, const char *dc)
 {
@@ -32,13 +32,13 @@
 static const struct cw_step_spec four = {.tasks = 4, .accelerators = 8};
 
 static void
-test_tasks_stay_in_the_accounts_centre(void)
+test_tasks_stay_in_the_accounts_data_centre(void)
 {
     const struct cw_step_spec many = {.tasks = 6, .accelerators = 8};
     struct site site;
     struct owner_job *job;
 
-    site_begin_apart(&site);
+    site_begin_in_dcs(&site);
     confine(&site, "d1");
     job = add_job(&site, 0, &many);
     pass(&site, 10);
@@ -50,12 +50,12 @@
 }
 
 static void
-test_nothing_runs_for_an_account_that_is_gone(void)
+test_nothing_runs_for_a_removed_account(void)
 {
     struct site site;
     struct owner_job *job;
 
-    site_begin_apart(&site);
+    site_begin_in_dcs(&site);
     confine(&site, NULL);
     job = add_job(&site, 0, &four);
     pass(&site, 10);
@@ -69,7 +69,7 @@
     struct site site;
     struct owner_job *job;
 
-    site_begin_apart(&site);
+    site_begin_in_dcs(&site);
     confine(&site, "d1");
     job = run_job(&site, 0, &four);
     confine(&site, "d2");
@@ -82,12 +82,12 @@
 }
 
 static void
-test_a_narrower_configuration_ends_once_only_work(void)
+test_a_narrower_configuration_ends_at_most_once_work(void)
 {
     struct site site;
     struct owner_job *job;
 
-    site_begin_apart(&site);
+    site_begin_in_dcs(&site);
     confine(&site, "d1");
     job = run_job(&site, 0, &four);
     ((struct cw_work_spec *)job->spec)->once = TRUE;
@@ -99,14 +99,14 @@
 }
 
 static const struct test tests[] = {
-    {"tasks stay in the account's centre",
-     test_tasks_stay_in_the_accounts_centre},
-    {"nothing runs for an account that is gone",
-     test_nothing_runs_for_an_account_that_is_gone},
+    {"tasks stay in the account's data centre",
+     test_tasks_stay_in_the_accounts_data_centre},
+    {"nothing runs for a removed account",
+     test_nothing_runs_for_a_removed_account},
     {"a narrower configuration moves work",
      test_a_narrower_configuration_moves_running_work},
-    {"a narrower configuration ends once-only work",
-     test_a_narrower_configuration_ends_once_only_work},
+    {"a narrower configuration ends at-most-once work",
+     test_a_narrower_configuration_ends_at_most_once_work},
 };
 
 TEST_MAIN("residency", tests)
--- a/tests/test_starvation.c
+++ b/tests/test_starvation.c
@@ -1,66 +1,67 @@
-/* Jobs that have stood still for too long get room that is kept from them: how
- * much, where, and what must not hide that they stand still. */
+/* Starvation: jobs that have been idle for too long are placed in reserved
+ * capacity: how much of it they get, and where, and what must not hide that
+ * they are idle. */
 #include "test_main.h"
 
 #include "owner_site.h"
 
 enum {
     STEP_MS = 50,
-    /* A job may have nothing running for 3 s; what is left of them is for the
-     * store and the start. */
-    BORNE_MS = 2500,
-    AT_WORK_MS = 300, /* what was let in is not stopped before, for room */
-    PASS_MOST = 16    /* placed in one pass, whatever waits */
+    /* A job may be idle for 3 s; the rest is for the store and the start. */
+    PLACED_WITHIN_MS = 2500,
+    /* Headroom is not reclaimed from a run before it has run for so long. */
+    RUN_MIN_MS = 300,
+    PLACED_PER_PASS_MAX = 16 /* steps placed in one pass, however many wait */
 };
 
-static const struct cw_step_spec max_in_flight = {
-    .tasks = 9, .accelerators = ACCELERATORS};
+static const struct cw_step_spec nine_workers = {.tasks = 9,
+                                                 .accelerators = ACCELERATORS};
 static const struct cw_step_spec wide = {.tasks = 40, .accelerators = 1};
 static const struct cw_step_spec tiny = {.tasks = 1, .accelerators = 1};
 static const struct cw_step_spec whole = {.tasks = 1,
                                           .accelerators = ACCELERATORS};
 
 static void
-each_target(struct site *site, void (*do_it)(struct site *, void *))
+for_each_target(struct site *site, void (*change)(struct site *, void *))
 {
     GHashTableIter iterator;
     gpointer value;
 
     g_hash_table_iter_init(&iterator, site->owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        do_it(site, value);
+        change(site, value);
     }
 }
 
-/* As if urgent work had just come in a burst. */
+/* As if urgent work had just arrived in a burst. */
 static void
-keep_for_urgent_work(struct site *site)
+reserve_headroom(struct site *site)
 {
-    struct owner_headroom *room =
+    struct owner_headroom *headroom =
         g_hash_table_lookup(site->owner->headroom, "s");
 
-    if (room != NULL) {
-        cw_headroom_observe(&room->forecast, RACKS * PER_RACK * ACCELERATORS,
-                            site->clock.now);
+    if (headroom != NULL) {
+        cw_headroom_observe(&headroom->forecast,
+                            RACKS * PER_RACK * ACCELERATORS, site->clock.now);
     }
 }
 
 static void
-pass_for(struct site *site, unsigned ms)
+run_passes(struct site *site, unsigned ms)
 {
     for (unsigned passed = 0; passed < ms; passed += STEP_MS) {
-        keep_for_urgent_work(site);
+        reserve_headroom(site);
         pass(site, STEP_MS);
     }
 }
 
-/* Three of twelve workers are free, all kept for urgent work. */
+/* Three of twelve workers are free, all of them headroom for urgent work. */
 static void
-site_begin_full(struct site *site)
+site_begin_all_reserved(struct site *site)
 {
     site_begin(site);
     set_guarantee(site, RACKS * PER_RACK * ACCELERATORS);
-    run_job(site, 0, &max_in_flight);
+    run_job(site, 0, &nine_workers);
 }
 
 static struct owner_run *
@@ -74,65 +75,67 @@
     return NULL;
 }
 
-/* A start that is never answered is no work: others of the job are placed. */
+/* A run whose start is never answered does not count as work: other tasks of
+ * the job are placed. */
 static void
-test_a_run_that_never_was_does_not_hide_the_rest(void)
+test_an_unconfirmed_run_does_not_hide_idle_tasks(void)
 {
     struct site site;
     struct owner_job *job;
 
-    site_begin_full(&site);
+    site_begin_all_reserved(&site);
     job = add_job(&site, 2, &wide);
-    pass_for(&site, BORNE_MS);
+    run_passes(&site, PLACED_WITHIN_MS);
     CU_ASSERT_EQUAL_FATAL(placed(job), 1);
     first_run(job)->phase = RUN_STARTING;
     first_run(job)->target->unanswered_polls = 1;
-    pass_for(&site, 1000);
+    run_passes(&site, 1000);
     CU_ASSERT_TRUE(placed(job) > 1);
     site_end(&site);
 }
 
-/* An owner that loses the shard forgets its runs at once: none of them may
- * count for ever. */
+/* Guards against runs that are counted as borrowing headroom for ever: an
+ * owner that loses the shard drops all its runs at once. */
 static void
-test_what_was_released_is_counted_anew(void)
+test_borrowed_headroom_is_counted_again(void)
 {
     struct site site;
     struct owner_job *job;
-    struct owner_headroom *room;
+    struct owner_headroom *headroom;
 
-    site_begin_full(&site);
-    room = g_hash_table_lookup(site.owner->headroom, "s");
-    room->headroom_borrowed = RACKS * PER_RACK * ACCELERATORS;
+    site_begin_all_reserved(&site);
+    headroom = g_hash_table_lookup(site.owner->headroom, "s");
+    headroom->headroom_borrowed = RACKS * PER_RACK * ACCELERATORS;
     job = add_job(&site, 2, &tiny);
-    pass_for(&site, BORNE_MS);
+    run_passes(&site, PLACED_WITHIN_MS);
     CU_ASSERT_EQUAL(placed(job), 1);
     site_end(&site);
 }
 
-/* A released task does not open its worker to the rest of what waits. */
+/* A task that borrows headroom does not make its worker available to other
+ * waiting tasks. */
 static void
-test_one_place_stays_one(void)
+test_a_confirmed_job_borrows_for_one_task_only(void)
 {
     struct site site;
     struct owner_job *job;
 
-    site_begin_full(&site);
+    site_begin_all_reserved(&site);
     job = add_job(&site, 2, &wide);
-    pass_for(&site, BORNE_MS);
+    run_passes(&site, PLACED_WITHIN_MS);
     confirm_starts(&site, job);
     for (unsigned i = 0; i < 10; i++) {
         owner_idle_end(site.owner, job); /* it is listed */
-        pass_for(&site, 100);
+        run_passes(&site, 100);
     }
     CU_ASSERT_EQUAL(placed(job), 1);
     site_end(&site);
 }
 
-/* Guards against idle jobs that get no place as others have taken all that may
- * be given up of the free room at a time. */
+/* Guards against a limit on borrowed headroom that leaves some idle jobs
+ * without a placement as others have used it up. */
 static void
-test_all_that_stand_still_get_a_place(void)
+test_all_idle_jobs_are_placed(void)
 {
     static const struct cw_step_spec eight = {.tasks = 8,
                                               .accelerators = ACCELERATORS};
@@ -145,76 +148,77 @@
     for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
         jobs[i] = add_job(&site, 2, &whole);
     }
-    pass_for(&site, BORNE_MS);
+    run_passes(&site, PLACED_WITHIN_MS);
     for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
         CU_ASSERT_EQUAL(placed(jobs[i]), 1);
     }
     site_end(&site);
 }
 
-/* A run in room that is kept, just confirmed. */
+/* Returns a run that borrows headroom and was just confirmed. */
 static struct owner_run *
-let_in(struct site *site)
+borrow_headroom(struct site *site)
 {
     struct owner_job *job;
 
-    site_begin_full(site);
+    site_begin_all_reserved(site);
     job = add_job(site, 2, &whole);
-    pass_for(site, BORNE_MS);
+    run_passes(site, PLACED_WITHIN_MS);
     confirm_starts(site, job);
     CU_ASSERT_PTR_NOT_NULL_FATAL(first_run(job));
     CU_ASSERT_TRUE_FATAL(first_run(job)->headroom_borrowed);
     return first_run(job);
 }
 
-/* It leaves before urgent work would have to wait for that, but not at once.
- */
+/* A run that borrows headroom is stopped before urgent work needs the
+ * capacity, but not at once. */
 static void
-test_what_was_let_in_makes_way_ahead_of_need(void)
+test_borrowed_headroom_is_reclaimed_before_it_is_needed(void)
 {
     struct site site;
-    struct owner_run *run = let_in(&site);
-    struct owner_headroom *room =
+    struct owner_run *run = borrow_headroom(&site);
+    struct owner_headroom *headroom =
         g_hash_table_lookup(site.owner->headroom, "s");
 
-    cw_headroom_arrived(&room->forecast, RACKS * PER_RACK * ACCELERATORS);
-    pass_for(&site, AT_WORK_MS - STEP_MS);
+    cw_headroom_arrived(&headroom->forecast, RACKS * PER_RACK * ACCELERATORS);
+    run_passes(&site, RUN_MIN_MS - STEP_MS);
     CU_ASSERT_FALSE(run->stopping);
-    pass_for(&site, 3 * STEP_MS);
+    run_passes(&site, 3 * STEP_MS);
     CU_ASSERT_TRUE(run->stopping);
     site_end(&site);
 }
 
-/* Nothing urgent comes: what is free suffices. */
+/* Without new urgent work there is enough free capacity, and the run goes on.
+ */
 static void
-test_what_was_let_in_goes_on_if_nothing_comes(void)
+test_borrowing_run_goes_on_without_urgent_work(void)
 {
     struct site site;
-    struct owner_run *run = let_in(&site);
+    struct owner_run *run = borrow_headroom(&site);
 
-    pass_for(&site, 5000);
+    run_passes(&site, 5000);
     CU_ASSERT_FALSE(run->stopping);
     site_end(&site);
 }
 
-/* What must not be begun twice is never stopped for room. */
+/* At-most-once work is never stopped for its capacity. */
 static void
-test_once_only_work_does_not_make_way(void)
+test_at_most_once_work_is_not_stopped(void)
 {
     struct site site;
-    struct owner_run *run = let_in(&site);
-    struct owner_headroom *room =
+    struct owner_run *run = borrow_headroom(&site);
+    struct owner_headroom *headroom =
         g_hash_table_lookup(site.owner->headroom, "s");
 
     ((struct cw_work_spec *)owner_task_job(run->task)->spec)->once = true;
-    cw_headroom_arrived(&room->forecast, RACKS * PER_RACK * ACCELERATORS);
-    pass_for(&site, 1000);
+    cw_headroom_arrived(&headroom->forecast, RACKS * PER_RACK * ACCELERATORS);
+    run_passes(&site, 1000);
     CU_ASSERT_FALSE(run->stopping);
     site_end(&site);
 }
 
 static void
-hold_first_rack(struct site *site, void *data)
+reserve_first_rack(struct site *site, void *data)
 {
     struct owner_target *target = data;
 
@@ -225,9 +229,9 @@
     }
 }
 
-/* Room in a rack that is kept for a gang goes last. */
+/* Capacity in a rack that is reserved for a gang is used last. */
 static void
-test_a_held_rack_goes_last(void)
+test_a_reserved_rack_is_used_last(void)
 {
     static const struct cw_step_spec six = {.tasks = 6,
                                             .accelerators = ACCELERATORS};
@@ -256,9 +260,9 @@
     for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
         jobs[i] = add_job(&site, 2, &tiny);
     }
-    for (unsigned ms = 0; ms < BORNE_MS; ms += STEP_MS) {
-        each_target(&site, hold_first_rack);
-        pass_for(&site, STEP_MS);
+    for (unsigned ms = 0; ms < PLACED_WITHIN_MS; ms += STEP_MS) {
+        for_each_target(&site, reserve_first_rack);
+        run_passes(&site, STEP_MS);
     }
     for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
         CU_ASSERT_PTR_NOT_NULL_FATAL(worker_of(jobs[i], 0));
@@ -268,20 +272,20 @@
 }
 
 static void
-suspect(struct site *site, void *data)
+make_suspect(struct site *site, void *data)
 {
     struct owner_target *target = data;
 
     target->incarnation.suspect_until = cw_time_add_ms(site->clock.now, 7000);
 }
 
-/* Each task that lasts counts, not only one of its step. */
+/* Each endless task that has no run is placed, not only one of its step. */
 static void
-test_all_tasks_that_last_get_a_place(void)
+test_all_endless_tasks_are_placed(void)
 {
     static const struct cw_step_spec six = {.tasks = 6,
                                             .accelerators = ACCELERATORS};
-    static const struct cw_step_spec lasting = {
+    static const struct cw_step_spec endless_tasks = {
         .tasks = 40, .accelerators = 1, .endless = true};
     struct site site;
     struct owner_job *job;
@@ -289,12 +293,12 @@
     site_begin(&site);
     set_guarantee(&site, 0);
     run_job(&site, 0, &six);
-    job = run_job(&site, 1, &lasting);
+    job = run_job(&site, 1, &endless_tasks);
     for (unsigned i = 0; i < 32; i++) {
         owner_run_drop(site.owner, step_of(job)->tasks[i].run);
     }
     for (unsigned ms = 0; ms < 6000; ms += STEP_MS) {
-        each_target(&site, suspect);
+        for_each_target(&site, make_suspect);
         owner_idle_end(site.owner, job); /* the others are listed */
         pass(&site, STEP_MS);
     }
@@ -303,18 +307,20 @@
 }
 
 static void
-suspect_if_idle(struct site *site, void *data)
+make_suspect_if_idle(struct site *site, void *data)
 {
     struct owner_target *target = data;
 
     if (target->runs->len == 0) {
-        suspect(site, data);
+        make_suspect(site, data);
     }
 }
 
-/* Places that do not come free: two reservations of 1.5 s, then anything. */
+/* Guards against urgent work that waits for ever for capacity that is not
+ * freed: after two reserved runs of 1.5 s each it is placed in any free
+ * capacity. */
 static void
-test_urgent_work_does_not_wait_for_reservations_for_ever(void)
+test_urgent_work_does_not_wait_for_reserved_runs_for_ever(void)
 {
     struct site site;
     struct owner_job *job;
@@ -322,11 +328,11 @@
 
     site_begin(&site);
     set_guarantee(&site, 0);
-    run_job(&site, 1, &max_in_flight);
+    run_job(&site, 1, &nine_workers);
     set_guarantee(&site, RACKS * PER_RACK * ACCELERATORS);
     job = add_job(&site, 0, &whole);
     for (; ms < 20000; ms += STEP_MS) {
-        each_target(&site, suspect_if_idle);
+        for_each_target(&site, make_suspect_if_idle);
         pass(&site, STEP_MS);
         if (first_run(job) != NULL && first_run(job)->phase == RUN_NEW) {
             break;
@@ -336,9 +342,10 @@
     site_end(&site);
 }
 
-/* An owner that is behind has many such jobs; it must not be flooded. */
+/* Guards against many placements at once: for an owner that is behind, all
+ * waiting jobs are starved. */
 static void
-test_a_pass_places_few_at_a_time(void)
+test_a_pass_places_a_limited_number(void)
 {
     struct site site;
     struct owner_job *jobs[90];
@@ -358,7 +365,7 @@
         for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
             now += placed(jobs[i]);
         }
-        CU_ASSERT_TRUE(now - before <= PASS_MOST);
+        CU_ASSERT_TRUE(now - before <= PLACED_PER_PASS_MAX);
         before = now;
     }
     CU_ASSERT_EQUAL(before, G_N_ELEMENTS(jobs));
@@ -367,17 +374,19 @@
 }
 
 static const struct test tests[] = {
-    {"never was", test_a_run_that_never_was_does_not_hide_the_rest},
-    {"counted anew", test_what_was_released_is_counted_anew},
-    {"one place", test_one_place_stays_one},
-    {"all of them", test_all_that_stand_still_get_a_place},
-    {"makes way", test_what_was_let_in_makes_way_ahead_of_need},
-    {"goes on", test_what_was_let_in_goes_on_if_nothing_comes},
-    {"once only", test_once_only_work_does_not_make_way},
-    {"held rack", test_a_held_rack_goes_last},
-    {"lasting", test_all_tasks_that_last_get_a_place},
-    {"reservations", test_urgent_work_does_not_wait_for_reservations_for_ever},
-    {"few at a time", test_a_pass_places_few_at_a_time},
+    {"unconfirmed run", test_an_unconfirmed_run_does_not_hide_idle_tasks},
+    {"counted again", test_borrowed_headroom_is_counted_again},
+    {"one task", test_a_confirmed_job_borrows_for_one_task_only},
+    {"all idle jobs", test_all_idle_jobs_are_placed},
+    {"reclaimed in time",
+     test_borrowed_headroom_is_reclaimed_before_it_is_needed},
+    {"goes on", test_borrowing_run_goes_on_without_urgent_work},
+    {"at most once", test_at_most_once_work_is_not_stopped},
+    {"reserved rack", test_a_reserved_rack_is_used_last},
+    {"endless tasks", test_all_endless_tasks_are_placed},
+    {"reserved runs",
+     test_urgent_work_does_not_wait_for_reserved_runs_for_ever},
+    {"limit per pass", test_a_pass_places_a_limited_number},
 };
 
 TEST_MAIN("starvation", tests)
