--- a/tests/test_late_ends.c
+++ b/tests/test_late_ends.c
@@ -1,9 +1,11 @@
-/* Ends of runs that were given up with their worker. */
+/* Ends of runs that were given up with their worker, and starts that arrive
+ * late. */
 #include "test_main.h"
 
 #include "owner_site.h"
 
-/* A job of one task whose first run was given up; its second is placed. */
+/* A job of one task whose first run was given up and whose second is placed.
+ */
 static struct owner_job *
 give_up(struct site *site, struct owner_target **first)
 {
@@ -31,7 +33,7 @@
 }
 
 static void
-test_a_late_result_is_taken(void)
+test_late_result_is_accepted(void)
 {
     struct site site;
     struct owner_target *first;
@@ -44,12 +46,12 @@
     ended = end_of(job, 1, CW_END_KIND_DONE);
     owner_run_ended(site.owner, first, &ended);
     CU_ASSERT_EQUAL(job->phase, CW_WORK_COMPLETED);
-    CU_ASSERT_EQUAL(placed(job), 0); /* it had not been sent */
+    CU_ASSERT_EQUAL(placed(job), 0); /* its second run was not sent yet */
     site_end(&site);
 }
 
 static void
-test_what_was_started_since_is_stopped(void)
+test_run_started_since_is_stopped(void)
 {
     struct site site;
     struct owner_target *first;
@@ -70,7 +72,7 @@
 }
 
 static void
-test_a_late_failure_changes_nothing(void)
+test_late_failure_changes_nothing(void)
 {
     struct site site;
     struct owner_target *first;
@@ -87,9 +89,9 @@
     site_end(&site);
 }
 
-/* An extension could hide that the lease was over. */
+/* Extending the lease could hide that it was over. */
 static void
-test_the_first_look_extends_no_lease_and_nothing_is_placed_before(void)
+test_first_poll_extends_no_lease_and_precedes_placement(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 8};
     struct site site;
@@ -119,9 +121,10 @@
     site_end(&site);
 }
 
-/* This VM could not extend the lease; the worker knows what it ran. */
+/* This VM could not extend the lease in time, but the worker can still report
+ * what it ran. */
 static void
-test_a_worker_that_answers_is_asked_before_its_runs_are_given_up(void)
+test_responsive_worker_is_polled_before_runs_are_given_up(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 8};
     struct site site;
@@ -145,10 +148,10 @@
     site_end(&site);
 }
 
-/* Sends a look, answers it with empty lists, and returns what it extended the
- * lease to. */
+/* Sends a poll and answers it with empty lists; returns the end of the lease
+ * that it granted. */
 static int64_t
-look_and_answer(struct site *site, struct owner_target *target)
+poll_and_answer(struct site *site, struct owner_target *target)
 {
     int64_t until_ms;
 
@@ -162,19 +165,20 @@
     return until_ms;
 }
 
-/* Once nothing is avoided any more. */
+/* Time when no worker is avoided any more. */
 static struct timespec
 later(const struct site *site)
 {
     return cw_time_add_ms(site->clock.now, 5000);
 }
 
-/* Seen with real processes: a start that a cut link held back was carried out
- * when it healed, after the task had been done elsewhere.  Its own lease was
- * over, but the worker's had been extended since, for other work: that is all
- * a worker asks.  So what it may still get is stopped there first. */
+/* Guards against a start that is delayed by a cut link and carried out when
+ * the link heals, after the task was done elsewhere; seen with real processes.
+ * The lease in the start was over, but a worker checks only its own lease,
+ * which had been extended for other work.  So before a lease is extended the
+ * worker has to confirm stops of the runs whose starts may still arrive. */
 static void
-test_a_start_that_may_come_late_is_shut_out_before_a_lease_is_extended(void)
+test_late_start_is_stopped_before_lease_is_extended(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 8};
     struct site site;
@@ -200,7 +204,7 @@
     CU_ASSERT_EQUAL(placed(job), 0);
     answer_remaining();
     unanswered = g_array_new(FALSE, FALSE, sizeof(struct cw_target_order));
-    CU_ASSERT_EQUAL(look_and_answer(&site, target), 0); /* a first look */
+    CU_ASSERT_EQUAL(poll_and_answer(&site, target), 0); /* the first poll */
     for (unsigned tries = 0; tries < 2; tries++) {
         int64_t before_ms = target->incarnation.lease_sent_ms;
 
@@ -221,15 +225,13 @@
 }
 
 static const struct test tests[] = {
-    {"shut out",
-     test_a_start_that_may_come_late_is_shut_out_before_a_lease_is_extended},
-    {"asked before",
-     test_a_worker_that_answers_is_asked_before_its_runs_are_given_up},
-    {"taken", test_a_late_result_is_taken},
-    {"stopped", test_what_was_started_since_is_stopped},
-    {"failure", test_a_late_failure_changes_nothing},
-    {"first look",
-     test_the_first_look_extends_no_lease_and_nothing_is_placed_before},
+    {"late start", test_late_start_is_stopped_before_lease_is_extended},
+    {"polled before",
+     test_responsive_worker_is_polled_before_runs_are_given_up},
+    {"accepted", test_late_result_is_accepted},
+    {"stopped", test_run_started_since_is_stopped},
+    {"failure", test_late_failure_changes_nothing},
+    {"first poll", test_first_poll_extends_no_lease_and_precedes_placement},
 };
 
 TEST_MAIN("late", tests)
--- a/tests/test_lease_notes.c
+++ b/tests/test_lease_notes.c
@@ -1,5 +1,5 @@
-/* Workers whose leases are extended no more, as the log of jobs tells all
- * VMs. */
+/* Lease notes: records in the log of jobs of workers whose leases are no
+ * longer extended. */
 #include "test_main.h"
 
 #include "owner_fixture.h"
@@ -7,13 +7,15 @@
 #define WORKER "w"
 
 enum {
-    FIRST_MS = 5000, /* for how long the first owner decides */
+    FIRST_OWNER_MS = 5000, /* how long the first owner is active */
     ANSWERED_MS = 300,
-    TURNS = 2,
+    OWNER_CHANGES = 2,
     OTHER_EPOCH = 500,
-    LATER = 2, /* generation: its epochs are higher than the other's */
-    TURN_MS = 4000,
-    RENEWED_MS = 2500 /* a note may be so old, and its reading late */
+    LATER_GENERATION =
+        2, /* generation: its epochs are higher than OTHER_EPOCH */
+    OWNER_ACTIVE_MS = 4000,
+    NOTE_AGE_MAX_MS =
+        2500 /* maximum age of a note, plus the delay of reading it */
 };
 
 static const struct cw_replica_lease_note *
@@ -25,7 +27,7 @@
 
 /* An owner with TASKS runs on a worker that has left the store's list. */
 static void
-bed_with_runs(struct fixture *fixture)
+take_over_with_runs(struct fixture *fixture)
 {
     fixture_begin(fixture);
     put_spec(fixture);
@@ -43,7 +45,7 @@
     vm_begin(fixture);
 }
 
-/* Goes on for so long; returns how often a note was written. */
+/* Runs for `ms`; returns how often a note was written. */
 static unsigned
 notes_written(struct fixture *fixture, unsigned ms)
 {
@@ -58,15 +60,15 @@
     return count;
 }
 
-/* Written again as time passes, and not more often: some 40 bytes each 2 s for
- * a silent worker. */
+/* A note is written again every 2 s and not more often: it takes about 40
+ * bytes for each unresponsive worker. */
 static void
-test_a_silent_worker_is_noted_at_a_pace(void)
+test_note_is_rewritten_at_intervals(void)
 {
     struct fixture fixture;
     uint64_t offset;
 
-    bed_with_runs(&fixture);
+    take_over_with_runs(&fixture);
     run(&fixture, 100);
     CU_ASSERT_PTR_NOT_NULL_FATAL(note_of(&fixture));
     CU_ASSERT_TRUE(note_of(&fixture)->left_ms <= FIRST_BOUND_MS);
@@ -74,23 +76,24 @@
     offset = note_of(&fixture)->offset;
     run(&fixture, 1800);
     CU_ASSERT_EQUAL(note_of(&fixture)->offset, offset);
-    CU_ASSERT_EQUAL(notes_written(&fixture, FIRST_MS - 1800), 2);
+    CU_ASSERT_EQUAL(notes_written(&fixture, FIRST_OWNER_MS - 1800), 2);
     CU_ASSERT_TRUE(note_of(&fixture)->left_ms <= FIRST_BOUND_MS - 4000);
     owner_drop_ownership(fixture.owner, "test");
     take_over(&fixture);
-    CU_ASSERT_TRUE(notes_written(&fixture, FIRST_MS) <= 3);
+    CU_ASSERT_TRUE(notes_written(&fixture, FIRST_OWNER_MS) <= 3);
     CU_ASSERT_TRUE(note_of(&fixture)->left_ms <= FIRST_BOUND_MS - 8000);
     fixture_end(&fixture);
 }
 
-/* A worker that can be asked is noted after a second without an answer. */
+/* The note of a worker that can be polled is written after a second without an
+ * answer. */
 static void
-test_a_short_silence_is_not_noted(void)
+test_no_note_before_worker_is_unresponsive(void)
 {
     struct fixture fixture;
     struct owner_target *target;
 
-    bed_with_runs(&fixture);
+    take_over_with_runs(&fixture);
     make_worker_reachable(&fixture);
     run_answering_polls(&fixture, 500);
     target = the_worker(&fixture);
@@ -106,16 +109,16 @@
 }
 
 static void
-test_an_owner_that_may_not_order_notes_nothing(void)
+test_unconfirmed_owner_writes_no_note(void)
 {
     struct fixture fixture;
     struct owner_target *target;
 
-    bed_with_runs(&fixture);
+    take_over_with_runs(&fixture);
     make_worker_reachable(&fixture);
     run_answering_polls(&fixture, 500);
     target = the_worker(&fixture);
-    fixture.owner->join_in_flight = true; /* joins prove nothing any more */
+    fixture.owner->join_in_flight = true; /* joins confirm nothing any more */
     fixture.store.answer_status = CW_STORE_REFUSED;
     run(&fixture, 1500);
     CU_ASSERT_FALSE(owner_may_order(fixture.owner, fixture.clock.now));
@@ -126,9 +129,9 @@
     fixture_end(&fixture);
 }
 
-/* Whether the note is stored is not known: it may be read by then. */
+/* It is unknown whether the note is stored: another VM may have read it. */
 static void
-test_a_note_without_an_answer_ends_the_lease(void)
+test_note_with_unknown_result_ends_lease(void)
 {
     struct fixture fixture;
     struct timespec end;
@@ -167,11 +170,11 @@
 }
 
 static void
-test_a_worker_that_is_heard_waits_until_its_note_is_dropped(void)
+test_returned_worker_waits_until_note_is_dropped(void)
 {
     struct fixture fixture;
 
-    bed_with_runs(&fixture);
+    take_over_with_runs(&fixture);
     run(&fixture, 500);
     CU_ASSERT_PTR_NOT_NULL(note_of(&fixture));
     fixture.store.answer_status = CW_STORE_UNKNOWN;
@@ -187,13 +190,13 @@
     fixture_end(&fixture);
 }
 
-/* The new owner did not write the note, and keeps to it as well. */
+/* A new owner obeys a note that an earlier owner has written. */
 static void
-test_a_new_owner_extends_no_lease_that_is_noted(void)
+test_new_owner_obeys_note(void)
 {
     struct fixture fixture;
 
-    bed_with_runs(&fixture);
+    take_over_with_runs(&fixture);
     run(&fixture, 500);
     change_owner(&fixture);
     take_over(&fixture);
@@ -208,9 +211,9 @@
     fixture_end(&fixture);
 }
 
-/* Nor one of a worker that it has no runs on. */
+/* The same for a worker without runs. */
 static void
-test_a_noted_worker_without_runs_gets_no_work_until_it_is_dropped(void)
+test_worker_without_runs_waits_until_note_is_dropped(void)
 {
     struct fixture fixture;
     struct cw_note_record value = {.left_ms = 700};
@@ -233,22 +236,22 @@
     CU_ASSERT_FALSE(
         owner_target_reachable(the_worker(&fixture), fixture.clock.now));
     fixture.store.answer_status = CW_STORE_OK;
-    run(&fixture, 1500); /* the VM reads again after 0.8 s at the most */
+    run(&fixture, 1500); /* the VM reads again after at most 0.8 s */
     CU_ASSERT_EQUAL(the_worker(&fixture)->lease_note, OWNER_LEASE_NOTE_NONE);
     CU_ASSERT_PTR_NULL(note_of(&fixture));
     g_byte_array_unref(bytes);
     fixture_end(&fixture);
 }
 
-/* A VM that starts later counts from when it has read the note. */
+/* A VM that starts later counts from the time when it has read the note. */
 static void
-test_a_vm_that_reads_the_note_late_waits_longer(void)
+test_vm_that_reads_note_late_waits_longer(void)
 {
     struct fixture fixture;
     unsigned left_ms;
 
-    bed_with_runs(&fixture);
-    run(&fixture, FIRST_MS);
+    take_over_with_runs(&fixture);
+    run(&fixture, FIRST_OWNER_MS);
     left_ms = note_of(&fixture)->left_ms;
     change_owner(&fixture);
     take_over(&fixture);
@@ -260,35 +263,38 @@
     fixture_end(&fixture);
 }
 
-/* Seen: a job with nothing running for 18.7 s, until its callers gave up.  The
- * VM that decided was cut off together with the worker; another one noted the
- * worker for 16.1 s, and the first, back 4 s later, counted 16.0 s anew.
- * Cause: a note stood as it was first written, whenever it was read.
- * Proof: here each of three VMs in turn, 4 s apart, waited the whole bound. */
+/* Guards against waiting for the whole bound again after each change of owner.
+ * A job had no runs for 18.7 s, until its callers gave up: the owner was cut
+ * off together with a worker, another VM wrote a note with 16.1 s left, and
+ * the first VM, which took over again 4 s later, waited 16.0 s from when it
+ * read the note, as the remaining time was never updated.  With that fault
+ * each of three VMs here, which take over 4 s apart, waits for the whole
+ * bound. */
 static void
-test_vms_that_decide_in_turn_do_not_count_anew(void)
+test_alternating_owners_do_not_restart_wait(void)
 {
     struct fixture fixture;
 
-    bed_with_runs(&fixture);
-    for (unsigned i = 0; i < TURNS; i++) {
-        run(&fixture, TURN_MS);
+    take_over_with_runs(&fixture);
+    for (unsigned i = 0; i < OWNER_CHANGES; i++) {
+        run(&fixture, OWNER_ACTIVE_MS);
         CU_ASSERT_EQUAL(the_job(&fixture)->runs, TASKS);
         change_owner(&fixture);
         take_over(&fixture);
     }
-    run(&fixture, FIRST_BOUND_MS - TURNS * TURN_MS + TURNS * RENEWED_MS);
+    run(&fixture, FIRST_BOUND_MS - OWNER_CHANGES * OWNER_ACTIVE_MS +
+                      OWNER_CHANGES * NOTE_AGE_MAX_MS);
     CU_ASSERT_EQUAL(the_job(&fixture)->runs, 0);
     fixture_end(&fixture);
 }
 
-/* What an owner writes about is over, whoever decides. */
+/* A note is dropped once the worker has no runs, whichever VM is the owner. */
 static void
-test_a_note_goes_with_the_runs(void)
+test_note_is_dropped_with_runs(void)
 {
     struct fixture fixture;
 
-    bed_with_runs(&fixture);
+    take_over_with_runs(&fixture);
     run(&fixture, 500);
     CU_ASSERT_PTR_NOT_NULL(note_of(&fixture));
     run(&fixture, FIRST_BOUND_MS);
@@ -298,25 +304,26 @@
     fixture_end(&fixture);
 }
 
-/* The worker was heard, and its lease extended, by another owner after this VM
- * had read the note: it has to read that first. */
+/* Another owner has received an answer of the worker and extended its lease
+ * after this VM had read the note: this VM has to read that the note was
+ * dropped before it becomes active. */
 static void
-test_a_vm_that_lacks_the_taking_back_does_not_decide(void)
+test_vm_without_note_removal_is_not_active(void)
 {
     struct fixture fixture;
     GByteArray *nothing = g_byte_array_new();
     struct cw_epoch_record value = {.epoch = OTHER_EPOCH};
     GByteArray *epoch = cw_xdr_encode((xdrproc_t)xdr_cw_epoch_record, &value);
 
-    bed_with_runs(&fixture);
-    run(&fixture, FIRST_MS);
+    take_over_with_runs(&fixture);
+    run(&fixture, FIRST_OWNER_MS);
     owner_drop_ownership(fixture.owner, "test");
     CU_ASSERT_PTR_NOT_NULL(note_of(&fixture));
     fixture.job_reads_unanswered = true;
     put(&fixture, CW_JOBS_TOPIC, "oother", epoch);
     put(&fixture, CW_JOBS_TOPIC, "n" WORKER, nothing);
-    run(&fixture, FIRST_BOUND_MS); /* the noted bound is over */
-    fixture.generation = LATER;
+    run(&fixture, FIRST_BOUND_MS); /* the bound in the note is over */
+    fixture.generation = LATER_GENERATION;
     take_over(&fixture);
     run(&fixture, 5000);
     CU_ASSERT_PTR_NOT_NULL(note_of(&fixture));
@@ -331,15 +338,15 @@
     fixture_end(&fixture);
 }
 
-/* What a VM did not read because history was dropped may have been the record
- * that took a note back. */
+/* A record that a VM did not read because history was dropped may have dropped
+ * a note. */
 static void
-test_notes_are_forgotten_where_history_is_dropped(void)
+test_notes_are_forgotten_when_history_is_dropped(void)
 {
     struct fixture fixture;
     GByteArray *nothing = g_byte_array_new();
 
-    bed_with_runs(&fixture);
+    take_over_with_runs(&fixture);
     run(&fixture, 500);
     owner_drop_ownership(fixture.owner, "test");
     CU_ASSERT_PTR_NOT_NULL(note_of(&fixture));
@@ -355,9 +362,9 @@
     fixture_end(&fixture);
 }
 
-/* A record may be given more than once, and an older one after a newer. */
+/* A record may be delivered more than once, and an older one after a newer. */
 static void
-test_a_note_that_is_given_again_keeps_its_time(void)
+test_note_delivered_again_keeps_its_time(void)
 {
     struct fixture fixture;
     struct cw_note_record value = {.left_ms = 700};
@@ -406,8 +413,9 @@
     return kind;
 }
 
-/* Where hundreds of workers are silent a note is due whenever the log is idle:
- * outcomes that callers wait for must not wait until none is. */
+/* With hundreds of unresponsive workers a note is due whenever the log is
+ * idle: outcomes, which callers wait for, must not wait until no note is due.
+ */
 static void
 test_notes_and_outcomes_take_turns(void)
 {
@@ -415,7 +423,7 @@
     struct owner_job *job;
     char kinds[4];
 
-    bed_with_runs(&fixture);
+    take_over_with_runs(&fixture);
     run(&fixture, 500);
     job = the_job(&fixture);
     for (unsigned i = 0; i < G_N_ELEMENTS(kinds); i++) {
@@ -435,9 +443,9 @@
     fixture_end(&fixture);
 }
 
-/* A start extends the lease too. */
+/* A start extends the lease as well. */
 static void
-test_starts_wait_until_the_note_is_dropped(void)
+test_starts_wait_until_note_is_dropped(void)
 {
     const struct cw_step_spec step = {.tasks = 1, .accelerators = 1};
     struct site site;
@@ -477,23 +485,21 @@
 }
 
 static const struct test tests[] = {
-    {"at a pace", test_a_silent_worker_is_noted_at_a_pace},
-    {"short silence", test_a_short_silence_is_not_noted},
-    {"may not order", test_an_owner_that_may_not_order_notes_nothing},
-    {"no answer", test_a_note_without_an_answer_ends_the_lease},
-    {"heard again",
-     test_a_worker_that_is_heard_waits_until_its_note_is_dropped},
-    {"new owner", test_a_new_owner_extends_no_lease_that_is_noted},
-    {"no runs",
-     test_a_noted_worker_without_runs_gets_no_work_until_it_is_dropped},
-    {"read late", test_a_vm_that_reads_the_note_late_waits_longer},
-    {"goes with the runs", test_a_note_goes_with_the_runs},
-    {"in turn", test_vms_that_decide_in_turn_do_not_count_anew},
-    {"taking back", test_a_vm_that_lacks_the_taking_back_does_not_decide},
-    {"history", test_notes_are_forgotten_where_history_is_dropped},
-    {"given again", test_a_note_that_is_given_again_keeps_its_time},
-    {"turns", test_notes_and_outcomes_take_turns},
-    {"starts", test_starts_wait_until_the_note_is_dropped},
+    {"rewritten", test_note_is_rewritten_at_intervals},
+    {"not yet unresponsive", test_no_note_before_worker_is_unresponsive},
+    {"unconfirmed owner", test_unconfirmed_owner_writes_no_note},
+    {"unknown result", test_note_with_unknown_result_ends_lease},
+    {"returned worker", test_returned_worker_waits_until_note_is_dropped},
+    {"new owner", test_new_owner_obeys_note},
+    {"no runs", test_worker_without_runs_waits_until_note_is_dropped},
+    {"read late", test_vm_that_reads_note_late_waits_longer},
+    {"dropped with runs", test_note_is_dropped_with_runs},
+    {"alternating owners", test_alternating_owners_do_not_restart_wait},
+    {"missing removal", test_vm_without_note_removal_is_not_active},
+    {"history", test_notes_are_forgotten_when_history_is_dropped},
+    {"delivered again", test_note_delivered_again_keeps_its_time},
+    {"outcomes", test_notes_and_outcomes_take_turns},
+    {"starts", test_starts_wait_until_note_is_dropped},
 };
 
 TEST_MAIN("notes", tests)
--- a/tests/test_leases.c
+++ b/tests/test_leases.c
@@ -1,21 +1,22 @@
-/* Workers that fall silent: until when their leases may last, and what waits
- * for that. */
+/* Bounds on the leases of workers that stop answering, and what waits for the
+ * end of such a lease. */
 #include "test_main.h"
 
 #include "owner_fixture.h"
 
 enum {
-    /* A lease on the slowest clock, and what an order may be late. */
-    LEASE_MOST_MS = LEASE_MS + LEASE_MS / 50 + 500,
-    /* Until nothing that owners before the first one gave can last. */
+    /* A lease on the slowest clock, plus the longest delay of an order. */
+    LEASE_MAX_MS = LEASE_MS + LEASE_MS / 50 + 500,
+    /* After this time no lease of owners before the first one can last. */
     SETTLED_MS = FIRST_BOUND_MS + 1000,
-    /* The rule bears 4 s of calm and 3 s: nothing may add to a lease that a
-     * start gives before its worker has confirmed a run. */
-    UNCONFIRMED_MOST_MS = 5000,
-    SILENT_MS = 1500
+    /* The platform tolerates 3 s without progress after 4 s without faults:
+     * nothing may add to the lease that a start grants before its worker has
+     * confirmed a run. */
+    UNCONFIRMED_MAX_MS = 5000,
+    UNRESPONSIVE_MS = 1500
 };
 
-/* An owner that has decided for long, and has runs on a worker that answers
+/* An owner that has been active for long, with runs on a worker that answers
  * it. */
 static void
 bed_with_settled_owner(struct fixture *fixture)
@@ -31,7 +32,7 @@
                           OWNER_LEASE_NOTE_NONE);
 }
 
-/* The next owner has taken the runs over. */
+/* Another owner takes over, with the runs. */
 static void
 replace_owner_with_runs(struct fixture *fixture, const char *vm)
 {
@@ -39,10 +40,10 @@
     CU_ASSERT_EQUAL_FATAL(the_job(fixture)->runs, TASKS);
 }
 
-/* Guards against jobs that wait for 12.6 s from a take-over for a worker that
- * answered the new owner, and died after that. */
+/* Guards against jobs that wait for 12.6 s after a take-over for a worker that
+ * answered the new owner and then died. */
 static void
-test_an_answer_bounds_what_earlier_owners_gave(void)
+test_answer_bounds_leases_of_earlier_owners(void)
 {
     struct fixture fixture;
 
@@ -50,31 +51,32 @@
     put_spec(&fixture);
     put_state(&fixture, CW_STATE_TOPIC, CW_WORK_RUNNING);
     take_over(&fixture);
-    CU_ASSERT_TRUE(lease_left_ms(&fixture) > LEASE_MOST_MS);
+    CU_ASSERT_TRUE(lease_left_ms(&fixture) > LEASE_MAX_MS);
     make_worker_reachable(&fixture);
     (void)run_answering_polls(&fixture, 500);
-    CU_ASSERT_TRUE(lease_left_ms(&fixture) <= LEASE_MOST_MS);
+    CU_ASSERT_TRUE(lease_left_ms(&fixture) <= LEASE_MAX_MS);
     CU_ASSERT_TRUE(lease_left_ms(&fixture) >= LEASE_MS - 1000);
     fixture_end(&fixture);
 }
 
-/* Guards against waiting for leases that a VM could still extend, where that
- * VM has ended and started again. */
+/* Guards against waiting for leases that a VM could still extend, after that
+ * VM's process has ended and started again. */
 static void
-test_a_restarted_vm_extends_no_leases_of_its_former_life(void)
+test_restarted_vm_extends_no_earlier_leases(void)
 {
     struct fixture fixture;
 
     bed_with_settled_owner(&fixture);
     replace_owner_with_runs(&fixture, "this");
-    CU_ASSERT_TRUE(lease_left_ms(&fixture) <= LEASE_MOST_MS);
+    CU_ASSERT_TRUE(lease_left_ms(&fixture) <= LEASE_MAX_MS);
     fixture_end(&fixture);
 }
 
-/* Guards against waiting for orders of this owner that arrive late, where none
- * of them gave a lease: what earlier owners gave has that in its bound. */
+/* Guards against waiting for late orders of this owner although none of them
+ * granted a lease: the bound on leases of earlier owners covers late orders.
+ */
 static void
-test_orders_without_a_lease_lengthen_none(void)
+test_orders_without_lease_extend_no_bound(void)
 {
     struct fixture fixture;
     struct timespec end;
@@ -92,10 +94,10 @@
     fixture_end(&fixture);
 }
 
-/* Guards against waiting for leases that an owner could still extend, where it
- * was deposed and goes on. */
+/* Guards against waiting for leases that a former owner could still extend,
+ * after it has lost the ownership and its VM keeps running. */
 static void
-test_a_deposed_owner_tells_that_it_extends_no_more(void)
+test_former_owner_reports_end_of_extensions(void)
 {
     struct fixture fixture;
 
@@ -105,14 +107,14 @@
         true; /* it does not gain the shard again */
     run(&fixture, 1000);
     replace_owner_with_runs(&fixture, "other");
-    CU_ASSERT_TRUE(lease_left_ms(&fixture) <= LEASE_MOST_MS);
+    CU_ASSERT_TRUE(lease_left_ms(&fixture) <= LEASE_MAX_MS);
     fixture_end(&fixture);
 }
 
-/* Guards against gangs that wait, as a whole, for the lease of a silent worker
- * to which nothing was sent for them. */
+/* Guards against a gang that waits for the end of the lease of an unresponsive
+ * worker although no start of the gang was sent to it. */
 static void
-test_places_on_a_silent_worker_are_given_up(void)
+test_unsent_runs_on_unresponsive_worker_are_given_up(void)
 {
     const struct cw_step_spec gang = {
         .tasks = 3, .accelerators = ACCELERATORS, .gang = true};
@@ -129,7 +131,7 @@
     step_of(job)->tasks[1].run->phase = RUN_RESERVED;
     owner_resources_add(&target->reserved,
                         &(struct cw_resources){.accelerators = 8});
-    for (unsigned passed = 0; passed < SILENT_MS; passed += STEP_MS) {
+    for (unsigned passed = 0; passed < UNRESPONSIVE_MS; passed += STEP_MS) {
         const struct cw_target_answer none = {.status = CW_TARGET_UNKNOWN};
 
         site.clock.now = cw_time_add_ms(site.clock.now, STEP_MS);
@@ -153,7 +155,7 @@
     site_end(&site);
 }
 
-/* A start of the job's only task is sent. */
+/* Sends the start of the job's only task. */
 static struct owner_target *
 send_start(struct site *site, struct owner_job *job)
 {
@@ -163,10 +165,10 @@
     return run->target;
 }
 
-/* Guards against leases that grow with each start sent while the answer to a
- * look is outstanding, so that a worker that died is waited for longer. */
+/* Guards against leases that grow with each start sent while a poll is in
+ * flight, so that the tasks of a dead worker wait longer. */
 static void
-test_starts_do_not_lengthen_a_lease_that_is_kept_up(void)
+test_starts_do_not_extend_renewed_lease(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 4};
     struct site site;
@@ -190,10 +192,9 @@
     site_end(&site);
 }
 
-/* Guards against a lease that grows with each try of a start that is not
- * answered. */
+/* Guards against a lease that grows with each retry of an unanswered start. */
 static void
-test_a_start_sent_again_gives_no_longer_lease(void)
+test_resent_start_grants_no_longer_lease(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 4};
     struct site site;
@@ -219,10 +220,10 @@
     site_end(&site);
 }
 
-/* Guards against gangs that wait for a whole lease for a worker that died
- * before it had confirmed anything. */
+/* Guards against gangs that wait for a full lease for a worker that died
+ * before it had confirmed a run. */
 static void
-test_an_unconfirmed_start_gives_a_short_lease(void)
+test_unconfirmed_start_grants_short_lease(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 4};
     struct site site;
@@ -234,18 +235,18 @@
     pass(&site, 10);
     target = send_start(&site, job);
     CU_ASSERT_TRUE(cw_time_diff_ms(site.clock.now, target->lease_end) <=
-                   UNCONFIRMED_MOST_MS);
+                   UNCONFIRMED_MAX_MS);
     (void)owner_poll_tick(site.owner, target, site.clock.now);
     CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_POLL);
     CU_ASSERT_TRUE(cw_time_diff_ms(site.clock.now, target->lease_end) <=
-                   UNCONFIRMED_MOST_MS);
+                   UNCONFIRMED_MAX_MS);
     site_end(&site);
 }
 
-/* Guards against lost work that waits for the next general check after its
- * worker's lease is over. */
+/* Guards against lost work that waits for the next periodic check after its
+ * worker's lease has expired. */
 static void
-test_the_end_of_a_lease_is_noticed_at_once(void)
+test_end_of_lease_is_processed_at_once(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 4};
     struct site site;
@@ -264,9 +265,10 @@
 }
 
 /* Guards against a task that runs twice: a worker has crashed and started
- * again under its id, unheard, and its clock says that the lease is long. */
+ * again under its id, which the owner does not know, and by its new clock the
+ * lease in a start is long. */
 static void
-test_a_start_may_meet_a_next_life(void)
+test_start_may_reach_next_incarnation(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 4};
     struct site site;
@@ -284,16 +286,16 @@
 }
 
 static const struct test tests[] = {
-    {"answer", test_an_answer_bounds_what_earlier_owners_gave},
-    {"restart", test_a_restarted_vm_extends_no_leases_of_its_former_life},
-    {"unleased", test_orders_without_a_lease_lengthen_none},
-    {"deposed", test_a_deposed_owner_tells_that_it_extends_no_more},
-    {"places", test_places_on_a_silent_worker_are_given_up},
-    {"growth", test_starts_do_not_lengthen_a_lease_that_is_kept_up},
-    {"sent again", test_a_start_sent_again_gives_no_longer_lease},
-    {"noticed", test_the_end_of_a_lease_is_noticed_at_once},
-    {"next life", test_a_start_may_meet_a_next_life},
-    {"unconfirmed", test_an_unconfirmed_start_gives_a_short_lease},
+    {"answer", test_answer_bounds_leases_of_earlier_owners},
+    {"restart", test_restarted_vm_extends_no_earlier_leases},
+    {"orders without lease", test_orders_without_lease_extend_no_bound},
+    {"former owner", test_former_owner_reports_end_of_extensions},
+    {"unsent runs", test_unsent_runs_on_unresponsive_worker_are_given_up},
+    {"starts", test_starts_do_not_extend_renewed_lease},
+    {"resent start", test_resent_start_grants_no_longer_lease},
+    {"end of lease", test_end_of_lease_is_processed_at_once},
+    {"next incarnation", test_start_may_reach_next_incarnation},
+    {"unconfirmed", test_unconfirmed_start_grants_short_lease},
 };
 
 TEST_MAIN("leases", tests)
--- a/tests/test_order_window.c
+++ b/tests/test_order_window.c
@@ -1,14 +1,15 @@
-/* How many orders are under way at a time.
+/* Limit on the number of orders in flight.
  *
- * The pattern: 3,000 workers and an owner on half a core.  It takes answers
- * so late that it asks again what was answered, and has no time for the
- * reports of workers that leave.  Grounds for the figures: an order is sent
- * again after 500 ms, an answer takes 2 to 10 ms where the owner keeps up. */
+ * Guards against an owner that is overloaded by its own orders.  With 3,000
+ * workers and half a core it reads answers so late that it resends orders that
+ * were answered, and has no time for the reports of draining workers.  An
+ * order is resent after 500 ms; an answer takes 2 to 10 ms if the owner is not
+ * overloaded. */
 #include "test_main.h"
 
 #include "owner_site.h"
 
-enum { ANSWERS = 400, TENTHS = 50 };
+enum { ANSWERS = 400, ADJUSTMENTS = 50 };
 
 static void
 answer_all(struct owner_order_window *order_window, int64_t took_ms)
@@ -19,7 +20,7 @@
 }
 
 static void
-test_soon_answered_more_may_be_under_way(void)
+test_limit_grows_with_quick_answers(void)
 {
     struct owner_order_window order_window = {0};
     unsigned first;
@@ -27,7 +28,7 @@
     owner_order_window_reset(&order_window);
     first = order_window.max_in_flight;
     answer_all(&order_window, 5);
-    for (unsigned i = 0; i < TENTHS; i++) {
+    for (unsigned i = 0; i < ADJUSTMENTS; i++) {
         owner_order_window_adjust(&order_window);
     }
     CU_ASSERT_TRUE(order_window.max_in_flight > 8 * first);
@@ -36,14 +37,14 @@
 }
 
 static void
-test_answered_late_fewer_may_but_some_always(void)
+test_limit_shrinks_to_minimum_with_late_answers(void)
 {
     struct owner_order_window order_window = {0};
 
     cw_log_setup("error", "test");
     owner_order_window_reset(&order_window);
     answer_all(&order_window, 400);
-    for (unsigned i = 0; i < TENTHS; i++) {
+    for (unsigned i = 0; i < ADJUSTMENTS; i++) {
         owner_order_window_adjust(&order_window);
     }
     CU_ASSERT_TRUE(order_window.max_in_flight < 128);
@@ -57,28 +58,28 @@
 }
 
 static void
-test_it_recovers_when_answers_come_soon_again(void)
+test_limit_recovers_after_late_answers(void)
 {
     struct owner_order_window order_window = {0};
-    unsigned least;
+    unsigned lowest;
 
     cw_log_setup("error", "test");
     owner_order_window_reset(&order_window);
     answer_all(&order_window, 400);
-    for (unsigned i = 0; i < TENTHS; i++) {
+    for (unsigned i = 0; i < ADJUSTMENTS; i++) {
         owner_order_window_adjust(&order_window);
     }
-    least = order_window.max_in_flight;
+    lowest = order_window.max_in_flight;
     answer_all(&order_window, 5);
-    for (unsigned i = 0; i < TENTHS; i++) {
+    for (unsigned i = 0; i < ADJUSTMENTS; i++) {
         owner_order_window_adjust(&order_window);
     }
-    CU_ASSERT_TRUE(order_window.max_in_flight > 8 * least);
+    CU_ASSERT_TRUE(order_window.max_in_flight > 8 * lowest);
 }
 
-/* Nothing is placed while too much is under way; then it is. */
+/* Nothing is placed while too many orders are in flight. */
 static void
-test_placement_waits_for_orders_under_way(void)
+test_placement_waits_for_orders_in_flight(void)
 {
     struct site site;
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 1};
@@ -96,9 +97,9 @@
     site_end(&site);
 }
 
-/* Each order counts from its queue to its answer, or until it is dropped. */
+/* An order counts from when it is queued until it is answered or dropped. */
 static void
-test_orders_are_counted_until_they_are_answered(void)
+test_orders_count_until_answered(void)
 {
     struct site site;
     struct owner_target *target;
@@ -116,16 +117,16 @@
     CU_ASSERT_EQUAL(site.owner->order_window.in_flight, 2);
     owner_target_lost(site.owner, target, "test");
     CU_ASSERT_EQUAL(site.owner->order_window.in_flight,
-                    1); /* one is on its way */
+                    1); /* one is in flight */
     site_end(&site);
 }
 
 static const struct test tests[] = {
-    {"grows", test_soon_answered_more_may_be_under_way},
-    {"shrinks", test_answered_late_fewer_may_but_some_always},
-    {"recovers", test_it_recovers_when_answers_come_soon_again},
-    {"placement", test_placement_waits_for_orders_under_way},
-    {"counted", test_orders_are_counted_until_they_are_answered},
+    {"grows", test_limit_grows_with_quick_answers},
+    {"shrinks", test_limit_shrinks_to_minimum_with_late_answers},
+    {"recovers", test_limit_recovers_after_late_answers},
+    {"placement", test_placement_waits_for_orders_in_flight},
+    {"counted", test_orders_count_until_answered},
 };
 
 TEST_MAIN("pace", tests)
--- a/tests/test_orders.c
+++ b/tests/test_orders.c
@@ -1,9 +1,10 @@
-/* Starts that were not answered, and starts that were never sent. */
+/* Starts and stops: orders without an answer, orders that were never sent,
+ * retries and limits. */
 #include "test_main.h"
 
 #include "owner_site.h"
 
-/* A job of one task whose start is under way. */
+/* A job of one task whose start is in flight. */
 static struct owner_job *
 start_job(struct site *site)
 {
@@ -16,9 +17,9 @@
     return job;
 }
 
-/* Nothing can come of it: the task need not wait for that worker. */
+/* The worker cannot carry the start out, so the task need not wait for it. */
 static void
-test_a_start_that_was_never_sent_frees_the_task_at_once(void)
+test_unsent_start_frees_task_at_once(void)
 {
     struct site site;
     struct owner_job *job;
@@ -37,9 +38,9 @@
     site_end(&site);
 }
 
-/* It may have been carried out, or may be yet. */
+/* The start may have been carried out, or may be later. */
 static void
-test_a_start_without_an_answer_keeps_its_place(void)
+test_unanswered_start_keeps_placement(void)
 {
     struct site site;
     struct owner_job *job;
@@ -52,7 +53,7 @@
     CU_ASSERT_EQUAL(placed(job), 1);
     pass(&site, 10);
     CU_ASSERT_PTR_EQUAL(worker_of(job, 0), first);
-    /* Sent again, and not even that reached the worker. */
+    /* The retry does not reach the worker either. */
     site.clock.now = cw_time_add_ms(site.clock.now, 100);
     site.owner->ownership_confirmed_at = site.clock.now;
     owner_orders_send(site.owner, step_of(job)->tasks[0].run->target,
@@ -63,6 +64,7 @@
     site_end(&site);
 }
 
+/* Runs for `ms`, with stops that cannot be sent; returns their number. */
 static unsigned
 stops_sent_in(struct site *site, struct owner_target *target, unsigned ms)
 {
@@ -81,10 +83,11 @@
     return sent;
 }
 
-/* mpuk-wroclaw-grown scale-1 seed 202: 8,826 stops were sent to workers that
- * had gone, each as soon as the one before was refused. */
+/* Guards against stops that are retried without a pause.  On
+ * mpuk-wroclaw-grown scale-1 seed 202 8,826 stops were sent to workers that no
+ * longer existed, each as soon as the one before was refused. */
 static void
-test_a_stop_that_fails_at_once_is_paced(void)
+test_failing_stop_is_retried_at_intervals(void)
 {
     struct site site;
     struct owner_job *job;
@@ -99,11 +102,12 @@
     site_end(&site);
 }
 
-/* Each end of another member stops the gang once more: of 69 members that had
- * to leave for one on a worker that reset connections, nearly each sent a stop
- * there of its own. */
+/* Guards against an additional stop for each end of a gang member, as each end
+ * stops the whole gang again.  When 69 members were stopped because of one on
+ * a worker that reset connections, nearly each end sent a stop to that worker.
+ */
 static void
-test_a_stop_that_is_wanted_again_keeps_its_pace(void)
+test_repeated_stop_keeps_retry_interval(void)
 {
     struct site site;
     struct owner_job *job;
@@ -122,10 +126,10 @@
     site_end(&site);
 }
 
-/* One that was never sent need not wait behind one that may have been carried
- * out: it goes elsewhere. */
+/* A start that was never sent does not wait behind one that may have been
+ * carried out: its task is placed elsewhere. */
 static void
-test_a_start_that_was_never_sent_does_not_wait_behind_one_that_was(void)
+test_unsent_start_does_not_wait_behind_sent_one(void)
 {
     static const struct cw_step_spec half = {.tasks = 1, .accelerators = 4};
     struct site site;
@@ -150,7 +154,7 @@
         if (i == 0) {
             owner_orders_send(site.owner, target, site.clock.now);
             answer_last(CW_TARGET_UNKNOWN);
-            target->unanswered_polls = 1; /* the look was lost as well */
+            target->unanswered_polls = 1; /* the poll was lost as well */
         }
     }
     owner_orders_send(site.owner, target, site.clock.now);
@@ -159,11 +163,12 @@
     site_end(&site);
 }
 
-/* Seen: tasks of a cancelled job that ran to their end.  The job was cancelled
- * just after a take-over, while the store's list lacked their worker: there
- * was no address for the stop, which was dropped and never sent again. */
+/* Guards against tasks of a cancelled job that run to their end.  The job was
+ * cancelled just after a take-over, before the new owner had read the report
+ * of their worker: without an address the stop was dropped and never sent
+ * again. */
 static void
-test_a_stop_waits_for_its_workers_address(void)
+test_stop_waits_for_address_of_worker(void)
 {
     struct site site;
     struct owner_job *job;
@@ -184,9 +189,9 @@
     site_end(&site);
 }
 
-/* Others would be held up there as well. */
+/* Other starts would be delayed on that worker as well. */
 static void
-test_a_worker_that_leaves_a_start_unanswered_is_avoided(void)
+test_worker_with_unanswered_start_is_avoided(void)
 {
     struct site site;
     struct owner_job *job;
@@ -201,10 +206,10 @@
     site_end(&site);
 }
 
-/* Connections for one look and one order a worker are kept where two orders
- * at a time would need more than there are. */
+/* Only one order per worker is in flight if two orders and a poll need more
+ * connections than the VM has. */
 static void
-test_orders_at_a_time_fit_the_connections(void)
+test_orders_in_flight_fit_connections(void)
 {
     struct site site;
     const struct cw_step_spec three = {.tasks = 3, .accelerators = 2};
@@ -236,15 +241,14 @@
 }
 
 static const struct test tests[] = {
-    {"connections", test_orders_at_a_time_fit_the_connections},
-    {"paced", test_a_stop_that_fails_at_once_is_paced},
-    {"wanted again", test_a_stop_that_is_wanted_again_keeps_its_pace},
-    {"behind one",
-     test_a_start_that_was_never_sent_does_not_wait_behind_one_that_was},
-    {"address", test_a_stop_waits_for_its_workers_address},
-    {"avoided", test_a_worker_that_leaves_a_start_unanswered_is_avoided},
-    {"never sent", test_a_start_that_was_never_sent_frees_the_task_at_once},
-    {"no answer", test_a_start_without_an_answer_keeps_its_place},
+    {"connections", test_orders_in_flight_fit_connections},
+    {"stop interval", test_failing_stop_is_retried_at_intervals},
+    {"repeated stop", test_repeated_stop_keeps_retry_interval},
+    {"unsent behind sent", test_unsent_start_does_not_wait_behind_sent_one},
+    {"address", test_stop_waits_for_address_of_worker},
+    {"avoided", test_worker_with_unanswered_start_is_avoided},
+    {"never sent", test_unsent_start_frees_task_at_once},
+    {"no answer", test_unanswered_start_keeps_placement},
 };
 
 TEST_MAIN("orders", tests)
--- a/tests/test_restarts.c
+++ b/tests/test_restarts.c
@@ -1,32 +1,29 @@
-/* Workers that crash and start again under their ids.
+/* Workers that crash and start again under the same id.
  *
- * Seen: tasks were started again although a run of them had ended as done and
- * that end had been confirmed to the worker; and steps that could run did not,
- * as the owner repeated tasks of an earlier step that had been done long ago.
- * How: a worker that starts again numbers its ends from 1.  Each look told it
- * that all ends up to the number that its former life had reached were stored,
- * so it forgot those of its new life before anybody had seen them.  A run in
- * neither list is taken for lost, and its task is placed again.
- * Cause: what was remembered under a worker's id was taken for the worker's,
- * and was its life's: the numbers of its ends, the crashes that its silence
- * stood for, the stops and leases that it had confirmed.
- * Proof: the tests below failed; the first one is the incident's way. */
+ * Guards against state of a former incarnation that is applied to the next
+ * one: the numbers of its ends, the crashes behind its missing answers, and
+ * the stops and leases that it had confirmed.  A worker that starts again
+ * numbers its ends from 1.  Each poll confirmed all ends up to the number that
+ * the former incarnation had reached, so the worker forgot new ends before the
+ * owner had received them.  A run in neither list counts as lost, so tasks
+ * were started again although they were done, and later steps had to wait for
+ * them.  The tests fail with that fault; the first reproduces the incident. */
 #include "test_main.h"
 
 #include "owner/internal/owner_crashes.h"
 #include "owner_site.h"
 
 enum {
-    FIRST_BORN_MS = 1000,
+    FIRST_BOOT_MS = 1000,
     STARTS_TRIED = 12,
-    /* Of a task that crashes workers: three crash, and it may be started twice
-     * more. */
-    STARTS_MOST = 5
+    /* For a task that crashes workers: three crash, and the task may be
+     * started twice more. */
+    STARTS_MAX = 5
 };
 
 static const struct cw_step_spec one = {.tasks = 1, .accelerators = 4};
 
-/* Lets the owner attend to the worker; what it sends waits for its answer. */
+/* Lets the owner process the worker; its orders wait for their answers. */
 static void
 tick(struct site *site, struct owner_target *target, unsigned ms)
 {
@@ -36,9 +33,9 @@
     owner_poll_tick(site->owner, target, site->clock.now);
 }
 
-/* Waits until the owner looks at the worker. */
+/* Waits until the owner polls the worker. */
 static void
-await_look(struct site *site, struct owner_target *target)
+await_poll(struct site *site, struct owner_target *target)
 {
     for (unsigned i = 0; i < 500 && !target->poll_in_flight; i++) {
         tick(site, target, 10);
@@ -47,9 +44,9 @@
     CU_ASSERT_EQUAL_FATAL(last_order.kind, CW_ORDER_POLL);
 }
 
-/* Answers the last order, a look; NULL: nothing of the kind is listed. */
+/* Answers the last order, a poll; NULL is an empty list. */
 static void
-answer_look(int64_t boot_ms, const struct cw_running *running,
+answer_poll(int64_t boot_ms, const struct cw_running *running,
             const struct cw_ended *ended)
 {
     const struct cw_target_answer answer = {
@@ -66,7 +63,7 @@
     last_order.done(last_order.context, &answer);
 }
 
-/* As if the batch with what the ends led to had been stored. */
+/* Marks the applied ends as stored. */
 static void
 store_ends(struct owner_target *target)
 {
@@ -98,26 +95,26 @@
     return ended;
 }
 
-/* A job is done on the worker, which numbers its end, and is told that this is
- * stored. */
+/* Completes a job on the worker, which gives its end this number; a poll then
+ * confirms to the worker that the end is stored. */
 static void
-work_and_confirm(struct site *site, struct owner_target *target,
-                 struct owner_job *job, int64_t boot_ms, uint64_t number)
+complete_and_confirm(struct site *site, struct owner_target *target,
+                     struct owner_job *job, int64_t boot_ms, uint64_t number)
 {
     struct cw_ended ended = end_of(job, number);
 
-    await_look(site, target);
-    answer_look(boot_ms, NULL, &ended);
+    await_poll(site, target);
+    answer_poll(boot_ms, NULL, &ended);
     CU_ASSERT_EQUAL(job->phase, CW_WORK_COMPLETED);
     store_ends(target);
-    await_look(site, target);
+    await_poll(site, target);
     CU_ASSERT_EQUAL(last_order.acked, number);
-    answer_look(boot_ms, NULL, NULL);
+    answer_poll(boot_ms, NULL, NULL);
 }
 
-/* The incident's way: its looks are not answered for a while. */
+/* As in the incident, polls are not answered for a while. */
 static void
-test_ends_of_the_next_life_are_seen(void)
+test_ends_of_next_incarnation_are_received(void)
 {
     struct site site;
     struct owner_job *job;
@@ -127,27 +124,27 @@
     site_begin(&site);
     job = add_job(&site, 0, &one);
     target = start_job(&site, job);
-    work_and_confirm(&site, target, job, FIRST_BORN_MS, 1);
-    await_look(&site, target);
+    complete_and_confirm(&site, target, job, FIRST_BOOT_MS, 1);
+    await_poll(&site, target);
     answer_last(CW_TARGET_UNKNOWN);
-    await_look(&site, target);
+    await_poll(&site, target);
     CU_ASSERT_EQUAL(last_order.acked, 0);
-    answer_look(FIRST_BORN_MS + 1, NULL, NULL);
+    answer_poll(FIRST_BOOT_MS + 1, NULL, NULL);
     job = add_job(&site, 0, &one);
     owner_run_create(site.owner, &step_of(job)->tasks[0], target, RUN_NEW, 1);
     confirm_starts(&site, job);
-    await_look(&site, target);
+    await_poll(&site, target);
     CU_ASSERT_EQUAL(last_order.acked, 0);
     ended = end_of(job, 1);
-    answer_look(FIRST_BORN_MS + 1, NULL, &ended);
+    answer_poll(FIRST_BOOT_MS + 1, NULL, &ended);
     CU_ASSERT_EQUAL(job->phase, CW_WORK_COMPLETED);
     site_end(&site);
 }
 
-/* It is away for less than the pause between two looks, and starts a run
- * before it is looked at again. */
+/* The worker is unavailable for less than the interval between two polls, and
+ * starts a run before the next poll. */
 static void
-test_an_end_is_not_confirmed_to_a_life_that_was_not_seen(void)
+test_end_is_not_confirmed_to_unknown_incarnation(void)
 {
     struct site site;
     struct owner_job *job;
@@ -156,30 +153,30 @@
     site_begin(&site);
     job = add_job(&site, 0, &one);
     target = start_job(&site, job);
-    work_and_confirm(&site, target, job, FIRST_BORN_MS, 1);
+    complete_and_confirm(&site, target, job, FIRST_BOOT_MS, 1);
     job = add_job(&site, 0, &one);
     owner_run_create(site.owner, &step_of(job)->tasks[0], target, RUN_NEW, 1);
     confirm_starts(&site, job);
-    await_look(&site, target);
+    await_poll(&site, target);
     CU_ASSERT_EQUAL(last_order.acked, 0);
     answer_last(CW_TARGET_UNKNOWN);
     site_end(&site);
 }
 
-/* Looks at the worker until it answers as a life that holds nothing. */
+/* Polls the worker until it answers as a new incarnation without runs. */
 static void
 crash_and_answer(struct site *site, struct owner_target *target,
                  int64_t boot_ms)
 {
-    await_look(site, target);
+    await_poll(site, target);
     answer_last(CW_TARGET_UNKNOWN);
-    await_look(site, target);
-    answer_look(boot_ms, NULL, NULL);
+    await_poll(site, target);
+    answer_poll(boot_ms, NULL, NULL);
 }
 
-/* Each worker is looked at once: its first life is known. */
+/* Polls each worker once, so that its first incarnation is known. */
 static void
-look_at_all(struct site *site)
+poll_all(struct site *site)
 {
     GHashTableIter iterator;
     gpointer value;
@@ -189,22 +186,22 @@
         struct owner_target *target = value;
 
         target->answered = false;
-        await_look(site, target);
-        answer_look(FIRST_BORN_MS, NULL, NULL);
+        await_poll(site, target);
+        answer_poll(FIRST_BOOT_MS, NULL, NULL);
     }
 }
 
-/* A task that crashes its worker is bounded, whatever the id of the next
- * life. */
+/* The limit for a task that crashes its workers holds whatever id the next
+ * incarnation has. */
 static void
-test_a_crash_under_the_same_id_counts(void)
+test_crash_under_same_id_counts(void)
 {
     struct site site;
     struct owner_job *job;
     unsigned starts = 0;
 
     site_begin(&site);
-    look_at_all(&site);
+    poll_all(&site);
     job = add_job(&site, 0, &one);
     for (; starts < STARTS_TRIED && !cw_work_is_over(job->phase); starts++) {
         struct owner_target *target = start_job(&site, job);
@@ -212,16 +209,16 @@
         if (target == NULL) {
             break;
         }
-        crash_and_answer(&site, target, FIRST_BORN_MS + 1 + starts);
+        crash_and_answer(&site, target, FIRST_BOOT_MS + 1 + starts);
     }
-    CU_ASSERT_TRUE(starts <= STARTS_MOST);
+    CU_ASSERT_TRUE(starts <= STARTS_MAX);
     CU_ASSERT_EQUAL(job->phase, CW_WORK_FAILED);
     site_end(&site);
 }
 
-/* ---- what is under way across a restart ---- */
+/* ---- orders in flight during a restart ---- */
 
-/* A start of the job was sent to the worker, whose first life is known. */
+/* Sends a start of the job to the worker, whose first incarnation is known. */
 static struct owner_run *
 send_start(struct site *site, struct owner_target *target,
            struct owner_job *job)
@@ -237,7 +234,7 @@
     return run;
 }
 
-/* The worker has carried the start out. */
+/* Answers the start in flight: the worker has carried it out. */
 static void
 answer_start(void)
 {
@@ -253,12 +250,12 @@
             return;
         }
     }
-    CU_FAIL("no start is under way");
+    CU_FAIL("no start is in flight");
 }
 
-/* As the worker lists the run while it is at work. */
+/* The worker's report of the run as running. */
 static struct cw_running
-listing_of(const struct owner_run *run)
+running_report(const struct owner_run *run)
 {
     struct cw_running listed = {
         .task = owner_task_name(run->task), .run = run->number, .saved = ""};
@@ -266,6 +263,7 @@
     return listed;
 }
 
+/* Begins a site with one worker whose first incarnation is known. */
 static struct owner_target *
 first_worker(struct site *site)
 {
@@ -274,12 +272,12 @@
     site_begin(site);
     target = owner_target_get(site->owner, "w00");
     target->answered = false;
-    await_look(site, target);
-    answer_look(FIRST_BORN_MS, NULL, NULL);
+    await_poll(site, target);
+    answer_poll(FIRST_BOOT_MS, NULL, NULL);
     return target;
 }
 
-/* Answers what was sent last to the worker as never answered. */
+/* Ends all orders in flight without an answer of the worker. */
 static void
 lose_answers(void)
 {
@@ -290,31 +288,32 @@
     }
 }
 
-/* By the clock of its next life the lease that the start carries may last for
- * longer than is known here. */
+/* By the clock of the next incarnation the lease in the start may last longer
+ * than the owner assumes. */
 static void
-test_a_start_is_not_sent_again_before_a_look_is_answered(void)
+test_start_is_not_resent_before_poll_is_answered(void)
 {
     struct site site;
     struct owner_target *target = first_worker(&site);
     struct owner_run *run = send_start(&site, target, add_job(&site, 0, &one));
 
-    await_look(&site, target);
+    await_poll(&site, target);
     lose_answers();
     CU_ASSERT_TRUE(target->unanswered_polls > 0);
-    tick(&site, target, 100); /* the pause between two tries is over */
+    tick(&site, target, 100); /* the pause between two attempts is over */
     CU_ASSERT_EQUAL(target->orders_in_flight, 0);
-    await_look(&site, target);
-    answer_look(FIRST_BORN_MS + 1, NULL, NULL);
+    await_poll(&site, target);
+    answer_poll(FIRST_BOOT_MS + 1, NULL, NULL);
     tick(&site, target, 1);
     CU_ASSERT_EQUAL(target->orders_in_flight, 1);
     CU_ASSERT_EQUAL(run->phase, RUN_STARTING);
     site_end(&site);
 }
 
-/* Nor is one that was never sent kept for a worker that does not answer. */
+/* A start that was never sent does not wait for a worker that does not
+ * answer. */
 static void
-test_a_start_that_was_not_sent_goes_elsewhere(void)
+test_unsent_start_is_placed_elsewhere(void)
 {
     struct site site;
     struct owner_target *target = first_worker(&site);
@@ -330,9 +329,10 @@
     site_end(&site);
 }
 
-/* The next life has not seen it: a start on its way would be carried out. */
+/* The next incarnation does not know the stop: it would carry out a start that
+ * is still in flight. */
 static void
-test_a_stop_that_the_former_life_confirmed_is_sent_again(void)
+test_stop_confirmed_by_former_incarnation_is_resent(void)
 {
     struct site site;
     struct owner_target *target = first_worker(&site);
@@ -344,25 +344,25 @@
     run->stop_queued = false;
     run->stop_confirmed = true;
     run->stop_confirmed_at = site.clock.now;
-    await_look(&site, target);
-    answer_look(FIRST_BORN_MS + 1, NULL, NULL);
+    await_poll(&site, target);
+    answer_poll(FIRST_BOOT_MS + 1, NULL, NULL);
     CU_ASSERT_PTR_NOT_NULL(step_of(job)->tasks[0].run);
     CU_ASSERT_FALSE(run->stop_confirmed);
     site_end(&site);
 }
 
 static void
-test_a_run_that_the_next_life_lists_goes_on(void)
+test_run_reported_by_next_incarnation_continues(void)
 {
     struct site site;
     struct owner_target *target = first_worker(&site);
     struct owner_job *job = add_job(&site, 0, &one);
     struct owner_run *run = send_start(&site, target, job);
-    const struct cw_running listed = listing_of(run);
+    const struct cw_running listed = running_report(run);
 
     answer_start();
-    await_look(&site, target);
-    answer_look(FIRST_BORN_MS + 1, &listed, NULL);
+    await_poll(&site, target);
+    answer_poll(FIRST_BOOT_MS + 1, &listed, NULL);
     CU_ASSERT_PTR_EQUAL(step_of(job)->tasks[0].run, run);
     CU_ASSERT_EQUAL(step_of(job)->tasks[0].suspicion, 0);
     site_end(&site);
@@ -373,37 +373,39 @@
 {
     unsigned count = 0;
 
-    for (const GList *at = target->orders.head; at != NULL; at = at->next) {
-        count += ((struct owner_order *)at->data)->kind == CW_ORDER_STOP;
+    for (const GList *item = target->orders.head; item != NULL;
+         item = item->next) {
+        count += ((struct owner_order *)item->data)->kind == CW_ORDER_STOP;
     }
     return count;
 }
 
-/* One that had no answer may still be carried out, by the next life: it knows
- * neither that the run was there nor that it is over. */
+/* A start without an answer may still be carried out by the next incarnation,
+ * which knows neither the run nor its end. */
 static void
-test_a_start_of_a_lost_run_that_may_come_late_is_shut_out(void)
+test_late_start_of_lost_run_is_stopped(void)
 {
     struct site site;
     struct owner_target *target = first_worker(&site);
     struct owner_job *job = add_job(&site, 0, &one);
     struct owner_run *run = send_start(&site, target, job);
-    const struct cw_running listed = listing_of(run);
+    const struct cw_running listed = running_report(run);
 
     run->unanswered = 1;
     answer_start();
-    await_look(&site, target);
-    answer_look(FIRST_BORN_MS, &listed, NULL);
-    await_look(&site, target);
-    answer_look(FIRST_BORN_MS + 1, NULL, NULL);
+    await_poll(&site, target);
+    answer_poll(FIRST_BOOT_MS, &listed, NULL);
+    await_poll(&site, target);
+    answer_poll(FIRST_BOOT_MS + 1, NULL, NULL);
     CU_ASSERT_EQUAL(placed(job), 0);
     CU_ASSERT_EQUAL(stops_queued(target), 1);
     site_end(&site);
 }
 
-/* Its first attempt had no answer: the former life may have begun it. */
+/* The first start had no answer: the former incarnation may have begun the
+ * job. */
 static void
-test_a_once_only_start_is_not_sent_to_the_next_life(void)
+test_at_most_once_start_is_not_sent_to_next_incarnation(void)
 {
     struct site site;
     struct owner_target *target = first_worker(&site);
@@ -415,34 +417,35 @@
     lose_answers();
     CU_ASSERT_EQUAL(run->unanswered, 1);
     tick(&site, target, 10);
-    CU_ASSERT_EQUAL(target->orders_in_flight, 0); /* a look goes first */
-    await_look(&site, target);
-    answer_look(FIRST_BORN_MS + 1, NULL, NULL);
+    CU_ASSERT_EQUAL(target->orders_in_flight,
+                    0); /* the poll has to be answered first */
+    await_poll(&site, target);
+    answer_poll(FIRST_BOOT_MS + 1, NULL, NULL);
     tick(&site, target, 10);
     CU_ASSERT_TRUE(run->stopping);
     site_end(&site);
 }
 
-/* It is cut off from this VM and has told the store that it is another life:
- * its runs need not be waited for until their lease is over. */
+/* The worker is cut off from this VM and has reported its new incarnation to
+ * the store: its tasks need not wait until the lease is over. */
 static void
-test_a_report_of_the_next_life_ends_the_wait(void)
+test_report_of_next_incarnation_ends_wait(void)
 {
     struct site site;
     struct owner_target *target = first_worker(&site);
     struct owner_job *job = add_job(&site, 0, &one);
     struct owner_run *run = send_start(&site, target, job);
-    const struct cw_running listed = listing_of(run);
+    const struct cw_running listed = running_report(run);
 
     answer_start();
-    await_look(&site, target);
-    answer_look(FIRST_BORN_MS, &listed, NULL);
-    await_look(&site, target);
-    answer_look(FIRST_BORN_MS, &listed, NULL);
-    await_look(&site, target);
+    await_poll(&site, target);
+    answer_poll(FIRST_BOOT_MS, &listed, NULL);
+    await_poll(&site, target);
+    answer_poll(FIRST_BOOT_MS, &listed, NULL);
+    await_poll(&site, target);
     answer_last(CW_TARGET_UNKNOWN);
     CU_ASSERT_EQUAL(placed(job), 1);
-    owner_incarnation_reported(target, FIRST_BORN_MS + 1);
+    owner_incarnation_reported(target, FIRST_BOOT_MS + 1);
     CU_ASSERT_EQUAL(placed(job), 0);
     CU_ASSERT_TRUE(step_of(job)->tasks[0].suspicion > 0);
     site_end(&site);
@@ -450,7 +453,8 @@
 
 /* ---- take-over ---- */
 
-/* A job that another owner has left with a run on w00, in a life of it. */
+/* A job restored from the state of another owner, with a run on the first
+ * incarnation of w00. */
 static struct owner_job *
 take_over(struct site *site, bool once)
 {
@@ -476,58 +480,60 @@
 }
 
 static void
-look_at_first(struct site *site, int64_t boot_ms)
+poll_first(struct site *site, int64_t boot_ms)
 {
     struct owner_target *target = owner_target_get(site->owner, "w00");
 
     target->answered = false;
     target->lease_end = cw_time_add_ms(site->clock.now, 10000);
-    await_look(site, target);
-    answer_look(boot_ms, NULL, NULL);
+    await_poll(site, target);
+    answer_poll(boot_ms, NULL, NULL);
 }
 
 static void
-test_a_new_owner_sees_that_a_worker_has_crashed(void)
+test_new_owner_detects_crash_of_worker(void)
 {
     struct site site;
     struct owner_job *job = take_over(&site, false);
 
-    look_at_first(&site, FIRST_BORN_MS + 1);
+    poll_first(&site, FIRST_BOOT_MS + 1);
     CU_ASSERT_EQUAL(placed(job), 0);
     CU_ASSERT_TRUE(step_of(job)->tasks[0].suspicion > 0);
     site_end(&site);
 }
 
-/* What the worker does not list was never started: but only if it is the life
- * that it was sent to. */
+/* A run that the worker does not report was never started, but only if the
+ * same incarnation answers that the start was sent to. */
 static void
-test_once_only_work_of_a_former_life_is_not_begun_again(void)
+test_at_most_once_job_of_former_incarnation_is_not_begun_again(void)
 {
     struct site site;
     struct owner_job *job = take_over(&site, true);
 
-    look_at_first(&site, FIRST_BORN_MS);
+    poll_first(&site, FIRST_BOOT_MS);
     CU_ASSERT_EQUAL(job->phase, CW_WORK_WAITING);
     site_end(&site);
     job = take_over(&site, true);
-    look_at_first(&site, FIRST_BORN_MS + 1);
+    poll_first(&site, FIRST_BOOT_MS + 1);
     CU_ASSERT_EQUAL(job->phase, CW_WORK_LOST);
     site_end(&site);
 }
 
 static const struct test tests[] = {
-    {"next life's ends", test_ends_of_the_next_life_are_seen},
-    {"unseen life", test_an_end_is_not_confirmed_to_a_life_that_was_not_seen},
-    {"crash counts", test_a_crash_under_the_same_id_counts},
-    {"start waits", test_a_start_is_not_sent_again_before_a_look_is_answered},
-    {"not sent", test_a_start_that_was_not_sent_goes_elsewhere},
-    {"stop again", test_a_stop_that_the_former_life_confirmed_is_sent_again},
-    {"goes on", test_a_run_that_the_next_life_lists_goes_on},
-    {"late start", test_a_start_of_a_lost_run_that_may_come_late_is_shut_out},
-    {"once-only start", test_a_once_only_start_is_not_sent_to_the_next_life},
-    {"report", test_a_report_of_the_next_life_ends_the_wait},
-    {"take-over", test_a_new_owner_sees_that_a_worker_has_crashed},
-    {"once", test_once_only_work_of_a_former_life_is_not_begun_again},
+    {"ends of next incarnation", test_ends_of_next_incarnation_are_received},
+    {"unknown incarnation", test_end_is_not_confirmed_to_unknown_incarnation},
+    {"crash counts", test_crash_under_same_id_counts},
+    {"start waits", test_start_is_not_resent_before_poll_is_answered},
+    {"unsent start", test_unsent_start_is_placed_elsewhere},
+    {"resent stop", test_stop_confirmed_by_former_incarnation_is_resent},
+    {"run continues", test_run_reported_by_next_incarnation_continues},
+    {"late start", test_late_start_of_lost_run_is_stopped},
+    {"at-most-once start",
+     test_at_most_once_start_is_not_sent_to_next_incarnation},
+    {"report", test_report_of_next_incarnation_ends_wait},
+    {"take-over", test_new_owner_detects_crash_of_worker},
+    {"at-most-once",
+     test_at_most_once_job_of_former_incarnation_is_not_begun_again},
 };
 
 TEST_MAIN("restarts", tests)
--- a/tests/test_short_leases.c
+++ b/tests/test_short_leases.c
@@ -1,25 +1,30 @@
-/* Leases that are shorter than the workers' most: whether the owner's bound
- * covers what the worker may hold. */
+/* Leases that are shorter than the longest that workers accept: the owner's
+ * bound has to cover the lease that the worker may have. */
 #include "test_main.h"
 
 #include "owner_fixture.h"
 
 #define OTHER_ID "5c0e7a21d94b36f9"
 
-enum { IDLE_MS = 60000, FRESH_MS = 20000, LATE_MS = 5000, DRIFT_PERCENT = 2 };
+enum {
+    IDLE_MS = 60000,
+    AFTER_POLL_MS = 20000,
+    LATE_MS = 5000,
+    DRIFT_PERCENT = 2
+};
 
-/* How long the lease that an order gives lasts on our clock, at a worker whose
- * clock shows `clock_ms` as it arrives and is slow. */
+/* Duration by the VM's clock of the lease that an order grants to a worker
+ * with a slow clock, which shows `clock_ms` when the order arrives. */
 static int64_t
-lasts_ms(const struct cw_target_order *order, int64_t clock_ms)
+lease_duration_ms(const struct cw_target_order *order, int64_t clock_ms)
 {
     int64_t given_ms = MIN(order->lease_until_ms - clock_ms, LEASE_MS);
 
     return given_ms + given_ms * DRIFT_PERCENT / 100;
 }
 
-/* A start to a worker with a slow clock that was not looked at for long, and
- * that carries it out so late. */
+/* Sends a start to a worker with a slow clock that was not polled for long;
+ * the start arrives `late_ms` late. */
 static void
 check_start_after_idle(int64_t late_ms)
 {
@@ -30,7 +35,7 @@
     struct cw_task_name name;
     int64_t clock_ms = START_MS;
     struct cw_target_answer answer = {.status = CW_TARGET_OK};
-    struct cw_target_order look;
+    struct cw_target_order poll;
 
     site_begin(&site);
     for (guint i = 0; i < RACKS * PER_RACK; i++) {
@@ -56,43 +61,43 @@
     CU_ASSERT_EQUAL(run->phase, RUN_READY);
     (void)owner_poll_tick(site.owner, run->target, site.clock.now);
     CU_ASSERT_EQUAL_FATAL(last_order.kind, CW_ORDER_POLL);
-    look = last_order;
+    poll = last_order;
     g_array_set_size(unanswered, unanswered->len - 1);
     answer.clock_ms = clock_ms;
-    look.done(look.context, &answer);
-    site.clock.now = cw_time_add_ms(site.clock.now, FRESH_MS);
-    clock_ms += FRESH_MS * (100 - DRIFT_PERCENT) / 100;
+    poll.done(poll.context, &answer);
+    site.clock.now = cw_time_add_ms(site.clock.now, AFTER_POLL_MS);
+    clock_ms += AFTER_POLL_MS * (100 - DRIFT_PERCENT) / 100;
     site.owner->ownership_confirmed_at = site.clock.now;
     owner_orders_send(site.owner, run->target, site.clock.now);
     CU_ASSERT_EQUAL_FATAL(last_order.kind, CW_ORDER_START);
     clock_ms += late_ms * (100 - DRIFT_PERCENT) / 100;
-    CU_ASSERT_TRUE(late_ms + lasts_ms(&last_order, clock_ms) <=
+    CU_ASSERT_TRUE(late_ms + lease_duration_ms(&last_order, clock_ms) <=
                    cw_time_diff_ms(site.clock.now, run->target->lease_end));
     site_end(&site);
 }
 
 /* Guards against two runs of a task: a worker with a slow clock that was not
- * looked at for long gets a longer lease than the owner counts. */
+ * polled for long gets a longer lease than the owner assumes. */
 static void
-test_a_short_lease_holds_on_a_slow_clock_not_read_for_long(void)
+test_bound_covers_slow_clock_after_idle_time(void)
 {
     check_start_after_idle(0);
 }
 
-/* The same where the worker carries the start out seconds late: the platform's
- * bound on a lease then counts from its arrival. */
+/* The same if the start arrives seconds late: the platform's limit on a lease
+ * then counts from the arrival. */
 static void
-test_a_late_start_holds_on_a_slow_clock_not_read_for_long(void)
+test_bound_covers_late_start_on_slow_clock(void)
 {
     check_start_after_idle(LATE_MS);
 }
 
-/* The worker, as it answers: its clock runs as ours. */
+/* A worker that answers orders; its clock runs like the VM's. */
 struct worker {
-    int64_t lease_ms; /* the latest end that an order gave it */
-    bool runs;        /* it lists all tasks; else their ends */
-    bool idle;        /* ... or nothing */
-    bool started;     /* a start has reached it */
+    int64_t lease_ms; /* latest end of a lease that an order granted */
+    bool runs;        /* reports all tasks as running, else as ended */
+    bool idle;        /* reports nothing */
+    bool started;     /* a start has arrived */
 };
 
 static void
@@ -142,10 +147,11 @@
     }
 }
 
-/* Guards against two runs of a task: an earlier owner's look has given the
- * worker a lease of 6 s, the next owner's start there counts 4 s. */
+/* Guards against two runs of a task: a poll of an earlier owner has granted
+ * the worker a lease of 6 s, and the next owner counts only the 4 s that its
+ * start grants. */
 static void
-test_a_short_lease_covers_what_an_earlier_owner_gave(void)
+test_bound_covers_lease_of_earlier_owner(void)
 {
     const struct work_spec_options options = {.id = OTHER_ID,
                                               .tasks = 1,
@@ -155,7 +161,7 @@
     struct fixture fixture;
     struct worker worker = {.runs = true};
     GByteArray *bytes = work_spec_encode(&options);
-    int64_t counted_ms;
+    int64_t bound_ms;
 
     fixture_begin(&fixture);
     put_spec(&fixture);
@@ -166,25 +172,24 @@
     worker.runs = false; /* all tasks have ended */
     run_worker(&fixture, &worker, 300);
     replace_owner(&fixture, "other");
-    CU_ASSERT_PTR_NULL(the_worker(&fixture)); /* no runs are known there */
+    CU_ASSERT_PTR_NULL(the_worker(&fixture)); /* none of its runs are known */
     worker.idle = true;
     put(&fixture, CW_JOBS_TOPIC, "s" OTHER_ID, bytes);
     (void)owner_target_get(fixture.owner, "w");
     make_worker_reachable(&fixture);
     run_worker(&fixture, &worker, 3000);
     CU_ASSERT_TRUE_FATAL(worker.started);
-    counted_ms =
+    bound_ms =
         cw_time_diff_ms(cw_time_from_ms(0), the_worker(&fixture)->lease_end);
-    CU_ASSERT_TRUE(counted_ms >= worker.lease_ms);
+    CU_ASSERT_TRUE(bound_ms >= worker.lease_ms);
     g_byte_array_unref(bytes);
     fixture_end(&fixture);
 }
 
 static const struct test tests[] = {
-    {"slow clock", test_a_short_lease_holds_on_a_slow_clock_not_read_for_long},
-    {"slow clock, late",
-     test_a_late_start_holds_on_a_slow_clock_not_read_for_long},
-    {"earlier", test_a_short_lease_covers_what_an_earlier_owner_gave},
+    {"slow clock", test_bound_covers_slow_clock_after_idle_time},
+    {"slow clock, late", test_bound_covers_late_start_on_slow_clock},
+    {"earlier owner", test_bound_covers_lease_of_earlier_owner},
 };
 
 TEST_MAIN("short leases", tests)
