--- a/include/curlewcart/cw_owner.h
+++ b/include/curlewcart/cw_owner.h
@@ -1,9 +1,9 @@
-/* The owner of a shard: it decides which task runs where, and keeps the
+/* The owner of a shard: the VM that assigns tasks to workers and renews the
  * workers' leases.
  *
- * Which VM owns a shard is decided by the store: a group deals the shard's
- * partition to one member, and an append under a higher epoch shuts out
- * every earlier owner.  The epoch is also the fencing token at the workers.
+ * The store decides which VM owns a shard: a group assigns the shard's
+ * partition to one member, and an append under a higher epoch fences every
+ * earlier owner.  The epoch is also the fencing token in orders to workers.
  *
  * All functions are called with the engine's lock held.
  */
@@ -21,11 +21,11 @@
 #include "curlewcart/cw_store.h"
 #include "curlewcart/cw_target.h"
 
-/* The group that deals the shards. */
+/* The store's group whose members are assigned the shards. */
 #define CW_OWNER_GROUP "owners"
 
-/* The topic of the states of jobs: written by the owner of a shard, read by
- * the next one. */
+/* The topic of the jobs' states: written by the owner of a shard, read by the
+ * VM that takes the shard over. */
 #define CW_STATE_TOPIC "keyed.states"
 
 struct cw_owner_options {
@@ -36,57 +36,60 @@
     struct cw_replica *replica;
     struct cw_counters *counters;
     const char *vm;         /* name of this VM; copied */
-    const char *member;     /* of this process's life; copied */
+    const char *member;     /* group member id of this process; copied */
     unsigned partition;     /* the shard */
-    unsigned member_ttl_ms; /* the store forgets a silent member after it */
+    unsigned member_ttl_ms; /* the store drops a member that has not joined
+                               again for so long */
     unsigned lease_ms;      /* longest lease that workers grant */
-    unsigned standby_read_interval_ms; /* of the log while another VM decides;
-                                 0: CW_STANDBY_READ_INTERVAL_MS */
-    unsigned retain_ms;         /* ended jobs are known at least so long */
+    unsigned standby_read_interval_ms; /* between reads of the log of jobs
+                                 while another VM is the owner; 0:
+                                 CW_STANDBY_READ_INTERVAL_MS */
+    unsigned retain_ms;         /* ended jobs are kept at least so long */
     unsigned capacity_milli;    /* this VM's processor, thousandths of a core;
-                                   0: as any other */
-    bool exposes_placements;    /* callers may ask where their jobs ran */
-    unsigned connections_max;   /* that this VM can keep open; 0: any number */
-    unsigned report_ms;         /* workers report so often; 0: each 1.5 s */
-    struct cw_cordons *cordons; /* or NULL: operators give no such orders */
-    unsigned cordon_ms; /* nothing is started in a data centre later than so
-                           long after its cordon; 0: no such bound */
+                                   0: unknown, taken as one core */
+    bool exposes_placements;    /* callers may query where their jobs ran */
+    unsigned connections_max;   /* open connections at most; 0: no limit */
+    unsigned report_ms;         /* interval of workers' reports; 0: 1.5 s */
+    struct cw_cordons *cordons; /* operator commands; NULL: none */
+    unsigned cordon_ms; /* no run is started in a data centre later than so
+                           long after its cordon; 0: no limit */
 };
 
 struct cw_owner;
 
+/* An owner without a shard; it joins the group on its first ticks. */
 struct cw_owner *cw_owner_create(const struct cw_owner_options *options);
 void cw_owner_free(struct cw_owner *owner);
 
-/* Another configuration is in force; takes a reference. */
+/* Puts another configuration in force; takes a reference. */
 void cw_owner_configure(struct cw_owner *owner, struct cw_routing *routing);
 
-/* A data centre was cordoned, or is so no more. */
+/* To be called when a data centre was cordoned or uncordoned. */
 void cw_owner_cordons_changed(struct cw_owner *owner);
 
-/* Gives the shard up for good: decides no more and leaves the group. */
+/* Gives up the shard for good and leaves the group. */
 void cw_owner_leave(struct cw_owner *owner);
 
-/* Does what is due; returns when it wants to be called next. */
+/* Does what is due; returns when it is to be called next. */
 struct timespec cw_owner_tick(struct cw_owner *owner, struct timespec now);
 
-/* True while this VM decides. */
+/* True while this VM is the owner and makes decisions. */
 bool cw_owner_active(const struct cw_owner *owner);
 
-/* What the owner holds, for metrics. */
+/* Figures for metrics. */
 struct cw_owner_stats {
     unsigned jobs;
     unsigned targets;
     unsigned runs;
-    unsigned waiting;        /* jobs that could run and do not, for 3 s or
-                                more, with most of their workers' room free or
-                                twice what they need at once */
-    int64_t longest_wait_ms; /* of them */
+    unsigned waiting;        /* jobs that could run and have not for 3 s or
+                                more, while most of their workers' capacity or
+                                twice what they need is free */
+    int64_t longest_wait_ms; /* of those jobs */
     unsigned repeating;      /* tasks that have lost three runs in a row */
 };
 void cw_owner_stats(const struct cw_owner *owner, struct cw_owner_stats *out);
 
-/* A worker as the owner sees it; texts are borrowed during the call. */
+/* A worker as known to the owner; texts are borrowed during the call. */
 struct cw_owner_target_view {
     const char *id;
     const char *dc;
@@ -95,14 +98,15 @@
     int64_t free_accelerators;
 };
 
-/* Calls `see` for each worker that this VM decides for. */
-void cw_owner_each_target(const struct cw_owner *owner,
-                          void (*see)(void *context,
-                                      const struct cw_owner_target_view *view),
-                          void *context);
+/* Calls `visit` for each worker known to this VM as the owner. */
+void
+cw_owner_each_target(const struct cw_owner *owner,
+                     void (*visit)(void *context,
+                                   const struct cw_owner_target_view *view),
+                     void *context);
 
-/* Writes why a job is where it is, for people.  False if this VM does not
- * decide, or does not know the job. */
+/* Writes for operators why a job waits or runs.  False if this VM is not the
+ * owner, or does not know the job. */
 bool cw_owner_explain(struct cw_owner *owner, const char *job,
                       struct timespec now, GString *out);
 
--- a/src/owner/internal/owner_log.h
+++ b/src/owner/internal/owner_log.h
@@ -1,7 +1,7 @@
-/* A topic that the owner of a shard writes to under its epoch: one append
- * under way at a time, each tried until it is known to be stored.
+/* A topic that the owner of a shard writes to under its epoch: one append in
+ * flight at a time, each retried until it is known to be stored.
  *
- * Opening a log shuts out every writer with a lower epoch.  All functions are
+ * Opening a log fences every writer with a lower epoch.  All functions are
  * called with the engine's lock held.
  */
 #ifndef CURLEWCART_OWNER_LOG_H
@@ -16,28 +16,32 @@
 #include "curlewcart/cw_store.h"
 #include "curlewcart/cw_time.h"
 
-/* Records for one append, and what is to be done once they are stored. */
+/* Records for one append, and a callback for when they are stored. */
 struct owner_batch;
 
 /* Called once the batch is stored; the log is idle again then. */
 typedef void (*owner_batch_stored)(void *context, struct owner_batch *batch);
 
+/* An empty batch; `stored` may be NULL. */
 struct owner_batch *owner_batch_new(owner_batch_stored stored, void *context);
 
-/* For a batch that was not sent. */
+/* Frees a batch that was not sent. */
 void owner_batch_free(struct owner_batch *batch);
 
-/* Adds a record; takes both, and a `value` of NULL drops the key. */
+/* Adds a record, or with a `value` of NULL drops the key.  Takes ownership of
+ * both. */
 void owner_batch_put(struct owner_batch *batch, char *key, GByteArray *value);
 
-/* Notes a job that the batch is about, for `stored` to look up.  Copied. */
+/* Adds the id of a job that the batch concerns, for `stored`.  Copied. */
 void owner_batch_add_job(struct owner_batch *batch, const char *job);
 
-/* Ids of the jobs noted.  Borrowed. */
+/* Ids of those jobs.  Borrowed. */
 const GPtrArray *owner_batch_jobs(const struct owner_batch *batch);
 
-/* When it was sent last, and how many records it has. */
+/* When it was sent last. */
 struct timespec owner_batch_sent_at(const struct owner_batch *batch);
+
+/* How many records it has. */
 unsigned owner_batch_record_count(const struct owner_batch *batch);
 
 struct owner_log_options {
@@ -46,41 +50,43 @@
     struct cw_counters *counters;
     const char *topic; /* borrowed, static */
     unsigned partition;
-    /* The store took an append that was sent at `sent`: no writer had shut
-     * this one out then. */
+    /* The store accepted an append that was sent at `sent`: no other writer
+     * had fenced this one by then. */
     void (*confirmed)(void *context, struct timespec sent);
-    /* Another writer has shut this one out, or its epoch was used by
-     * another; the log is closed. */
+    /* Another writer has fenced this one, or has used its epoch; the log is
+     * closed. */
     void (*lost)(void *context, const char *reason);
     void *context;
 };
 
 struct owner_log;
 
+/* A closed log. */
 struct owner_log *owner_log_create(const struct owner_log_options *options);
 void owner_log_free(struct owner_log *log);
 
-/* Shuts out earlier writers; the log is open once that is stored. */
+/* Fences earlier writers; the log is open once that is stored. */
 void owner_log_open(struct owner_log *log, uint64_t epoch);
 
-/* Forgets what is under way; its callbacks are not called. */
+/* Abandons the append in flight; its callbacks are not called. */
 void owner_log_close(struct owner_log *log);
 
+/* True once the append that opens the log is stored. */
 bool owner_log_is_open(const struct owner_log *log);
 
-/* End of the partition when the log was opened. */
+/* End offset of the partition when the log was opened. */
 uint64_t owner_log_open_offset(const struct owner_log *log);
 
-/* True if a batch may be sent. */
+/* True if the log is open and no batch is in flight. */
 bool owner_log_is_idle(const struct owner_log *log);
 
-/* Sends a batch on an idle log; takes it. */
+/* Sends a batch on an idle log; takes ownership of it. */
 void owner_log_send(struct owner_log *log, struct owner_batch *batch);
 
-/* When the last batch was sent first. */
+/* When the last batch was first sent, without its retries. */
 struct timespec owner_log_last_sent_at(const struct owner_log *log);
 
-/* Tries again what is due; returns when it wants to be called next. */
+/* Retries what is due; returns when it is to be called next. */
 struct timespec owner_log_tick(struct owner_log *log, struct timespec now);
 
 #endif
--- a/src/owner/owner.c
+++ b/src/owner/owner.c
@@ -1,30 +1,34 @@
-/* How a VM becomes the owner of a shard, and how it stops being it. */
+/* How a VM becomes the owner of a shard, what an owner does at each tick, and
+ * how it loses ownership. */
 #include "owner/internal/owner_placement.h"
 
 #include <string.h>
 
 enum {
-    CAPACITY_UNKNOWN_MILLI = 1000, /* as one core */
-    /* Reading up before the present owner is shut out takes a few reads.
-     * After so long it is shut out all the same: its writes may come faster
-     * than they are read, and to the log's end as it is then there is a way.
-     * Some twenty times what a take-over took at 147 VMs, 70 to 80 ms. */
-    READ_UP_MOST_MS = 1500,
-    /* Starts and stops need a confirmation by the store that is younger than
-     * the member's time to live, by this. */
-    ORDER_PROOF_SLACK_MS = 150,
-    REPORTS_PACE_MS = 500,
-    REPORT_EVERY_MS = 1500, /* as workers do where nothing else is set */
-    PLACE_EVERY_MS = 10,
-    PLACE_SHARE = 4,
-    CHECK_EVERY_MS = 100,
-    SWEEP_EVERY_MS = 5000,
+    CAPACITY_DEFAULT_MILLI = 1000, /* one core, where none is configured */
+    /* Reading the logs to their ends before the present owner is fenced takes
+     * a few reads.  After so long the owner is fenced all the same: it may
+     * write faster than this VM reads, but the end of a log that nobody
+     * appends to can be reached.  Some twenty times what a takeover took at
+     * 147 VMs, 70 to 80 ms. */
+    READ_BEFORE_FENCING_MAX_MS = 1500,
+    /* Starts and stops need a confirmation of ownership by the store whose age
+     * is less than the member's time to live by this. */
+    ORDER_CONFIRMATION_SLACK_MS = 150,
+    REPORTS_READ_INTERVAL_MS = 500,
+    REPORT_INTERVAL_DEFAULT_MS = 1500, /* of workers, if not configured */
+    PLACE_INTERVAL_MIN_MS = 10,
+    /* From the start of a placement pass to the next, in durations of the
+     * pass: it takes at most a quarter of the time. */
+    PLACE_INTERVAL_FACTOR = 4,
+    CHECK_INTERVAL_MS = 100,
+    SWEEP_INTERVAL_MS = 5000,
     EPOCHS_PER_GENERATION = 256,
     TAKEOVER_STEP_MS = 10
 };
 
 static void
-forget_states(struct cw_owner *owner)
+free_state_reader(struct cw_owner *owner)
 {
     owner_state_reader_free(owner->stored);
     owner->stored = NULL;
@@ -53,7 +57,7 @@
     owner_log_close(owner->jobs_log);
     cw_follower_free(owner->reports);
     owner->reports = NULL;
-    forget_states(owner);
+    free_state_reader(owner);
     memset(&owner->waits, 0, sizeof(owner->waits));
     owner->state = OWNER_IDLE;
 }
@@ -78,42 +82,43 @@
 {
     return owner->state == OWNER_ACTIVE &&
            cw_time_diff_ms(owner->ownership_confirmed_at, now) <
-               (int64_t)owner->options.member_ttl_ms - ORDER_PROOF_SLACK_MS;
+               (int64_t)owner->options.member_ttl_ms -
+                   ORDER_CONFIRMATION_SLACK_MS;
 }
 
 void
-owner_confirm_ownership(struct cw_owner *owner, struct timespec asked)
+owner_confirm_ownership(struct cw_owner *owner, struct timespec requested_at)
 {
-    bool could = owner_may_order(owner, owner_now(owner));
+    bool could_order = owner_may_order(owner, owner_now(owner));
 
-    if (cw_time_before(owner->ownership_confirmed_at, asked)) {
-        owner->ownership_confirmed_at = asked;
+    if (cw_time_before(owner->ownership_confirmed_at, requested_at)) {
+        owner->ownership_confirmed_at = requested_at;
     }
-    if (!could) {
-        owner_targets_wake_all(owner); /* their orders have waited */
+    if (!could_order) {
+        owner_targets_wake_all(owner); /* orders to them have waited */
     }
 }
 
-/* ---- becoming the owner ---- */
+/* ---- takeover ---- */
 
-/* A state whose job is over, or unknown, is of no use any more.  One that
- * could not be read stays: its job may still run. */
+/* Drops a state whose job is over or unknown.  A state that could not be
+ * decoded stays, because its job may still run. */
 static void
-drop_if_past(void *context, const char *id)
+drop_state_if_past(void *context, const char *id)
 {
     struct cw_owner *owner = context;
     const struct cw_replica_job *job =
         cw_replica_find_job(owner->options.replica, id);
-    bool past = job == NULL || job->spec == NULL ||
-                cw_work_is_over(job->recorded_phase);
+    bool is_past = job == NULL || job->spec == NULL ||
+                   cw_work_is_over(job->recorded_phase);
 
-    if (past && !g_hash_table_contains(owner->jobs, id)) {
+    if (is_past && !g_hash_table_contains(owner->jobs, id)) {
         owner_state_drop(owner, id);
     }
 }
 
 static void
-begin_deciding(struct cw_owner *owner, struct timespec now)
+become_active(struct cw_owner *owner, struct timespec now)
 {
     GHashTable *jobs = cw_replica_jobs(owner->options.replica);
     GHashTableIter iterator;
@@ -122,13 +127,13 @@
     owner->state = OWNER_ACTIVE;
     owner_order_window_reset(&owner->order_window);
     owner->placement_wanted = true;
-    owner->sweep_due = cw_time_add_ms(now, SWEEP_EVERY_MS);
+    owner->sweep_due = cw_time_add_ms(now, SWEEP_INTERVAL_MS);
     g_hash_table_iter_init(&iterator, jobs);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         owner_job_adopt(owner, value);
     }
-    owner_state_reader_each(owner->stored, drop_if_past, owner);
-    forget_states(owner);
+    owner_state_reader_each(owner->stored, drop_state_if_past, owner);
+    free_state_reader(owner);
     owner_epochs_bound_leases(owner, now);
     owner_lease_notes_adopt(owner);
     owner_hints_apply_all(owner);
@@ -156,7 +161,7 @@
         .store = owner->options.store,
         .clock = owner->options.clock,
         .topic = owner->options.codec->targets_topic,
-        .read_interval_ms = REPORTS_PACE_MS,
+        .read_interval_ms = REPORTS_READ_INTERVAL_MS,
         .handler = {.reset = owner_targets_reset,
                     .loaded = owner_targets_loaded,
                     .record = owner_target_apply_record,
@@ -189,7 +194,7 @@
 }
 
 static void
-on_log_proved(void *context, struct timespec sent)
+on_log_confirmed(void *context, struct timespec sent)
 {
     owner_confirm_ownership(context, sent);
 }
@@ -209,7 +214,7 @@
         .counters = owner->options.counters,
         .topic = topic,
         .partition = owner->options.partition,
-        .confirmed = on_log_proved,
+        .confirmed = on_log_confirmed,
         .lost = on_log_lost,
         .context = owner,
     };
@@ -228,12 +233,13 @@
     }
 }
 
-/* An earlier owner decides until it is shut out, and nobody from then on
- * until this VM has read up.  One that comes back from a cut is seconds
- * behind: shutting out first left 0.6 s without an owner on 350 workers,
- * reading first leaves one read of the log. */
+/* An earlier owner is active until it is fenced; from then on nobody is until
+ * this VM has read the logs to their ends.  A VM whose connection to the store
+ * was broken may be seconds behind.  Fencing first left 350 workers without an
+ * owner for 0.6 s; reading first leaves them without one for one read of the
+ * log. */
 static bool
-has_read_up(const struct cw_owner *owner, struct timespec now)
+has_read_to_end(const struct cw_owner *owner, struct timespec now)
 {
     const struct cw_follower *jobs =
         cw_replica_follower(owner->options.replica);
@@ -246,13 +252,14 @@
         return false;
     }
     return (cw_follower_at_end(jobs) && cw_follower_at_end(states)) ||
-           cw_time_diff_ms(owner->takeover_began_at, now) > READ_UP_MOST_MS;
+           cw_time_diff_ms(owner->takeover_began_at, now) >
+               READ_BEFORE_FENCING_MAX_MS;
 }
 
-/* True once its epoch is recorded, and all is read that was written before
- * earlier owners were shut out. */
+/* True once this VM's epoch is recorded, and all is read that was written
+ * before earlier owners were fenced. */
 static bool
-caught_up(const struct cw_owner *owner)
+has_caught_up(const struct cw_owner *owner)
 {
     const struct cw_follower *jobs =
         cw_replica_follower(owner->options.replica);
@@ -267,10 +274,10 @@
                owner_log_open_offset(owner->states_log);
 }
 
-/* ---- what the replica tells ---- */
+/* ---- callbacks of the replica ---- */
 
 static void
-on_changed(void *context, struct cw_replica_job *entry)
+on_job_changed(void *context, struct cw_replica_job *entry)
 {
     struct cw_owner *owner = context;
     struct owner_job *job;
@@ -289,8 +296,8 @@
 }
 
 static void
-on_hinted(void *context, const struct cw_replica_job *entry,
-          const struct cw_hint_record *hint)
+on_hint_received(void *context, const struct cw_replica_job *entry,
+                 const struct cw_hint_record *hint)
 {
     struct cw_owner *owner = context;
 
@@ -299,7 +306,8 @@
     }
 }
 
-/* Another VM has shut this one out; its next append would show it too. */
+/* A later epoch means that another VM has fenced this one; the next append
+ * would show it too. */
 static void
 on_epoch_began(void *context, uint64_t epoch)
 {
@@ -310,10 +318,10 @@
     }
 }
 
-/* Another process under this VM's name has told that this one's epoch is over.
- */
+/* True if another process that uses this VM's name has written that this
+ * owner's epoch has ended. */
 static bool
-is_disowned(const struct cw_owner *owner, const char *vm)
+is_name_in_use(const struct cw_owner *owner, const char *vm)
 {
     const struct cw_replica_epoch *own =
         g_hash_table_lookup(cw_replica_epochs(owner->options.replica), vm);
@@ -329,7 +337,7 @@
     if (owner->state != OWNER_ACTIVE) {
         return;
     }
-    if (is_disowned(owner, vm)) {
+    if (is_name_in_use(owner, vm)) {
         cw_log_error("name_in_use", "vm=%s epoch=%" PRIu64, vm, owner->epoch);
         owner_drop_ownership(owner, "name_in_use");
     }
@@ -347,7 +355,7 @@
 }
 
 static void
-on_owner_wrote(void *context)
+on_owner_record_received(void *context)
 {
     struct cw_owner *owner = context;
 
@@ -360,21 +368,21 @@
 cw_owner_create(const struct cw_owner_options *options)
 {
     struct cw_owner *owner = g_new0(struct cw_owner, 1);
-    struct cw_replica_listener listener = {.job_changed = on_changed,
-                                           .hint_received = on_hinted,
+    struct cw_replica_listener listener = {.job_changed = on_job_changed,
+                                           .hint_received = on_hint_received,
                                            .vm_announced = on_vm_announced,
                                            .epoch_began = on_epoch_began,
                                            .epoch_ended = on_epoch_ended,
                                            .owner_record_received =
-                                               on_owner_wrote,
+                                               on_owner_record_received,
                                            .context = owner};
 
     owner->options = *options;
     if (options->capacity_milli == 0) {
-        owner->options.capacity_milli = CAPACITY_UNKNOWN_MILLI;
+        owner->options.capacity_milli = CAPACITY_DEFAULT_MILLI;
     }
     if (options->report_ms == 0) {
-        owner->options.report_ms = REPORT_EVERY_MS;
+        owner->options.report_ms = REPORT_INTERVAL_DEFAULT_MS;
     }
     if (options->standby_read_interval_ms == 0) {
         owner->options.standby_read_interval_ms = CW_STANDBY_READ_INTERVAL_MS;
@@ -462,12 +470,13 @@
 
 /* ---- ticking ---- */
 
-/* Attends to a worker; returns when it wants to be attended to again. */
+/* Processes a worker; returns when it is to be processed again. */
 static struct timespec
 tick_target(struct cw_owner *owner, struct owner_target *target,
             struct timespec now)
 {
-    /* All at one time, for what depends on time alone. */
+    /* At the latest with the next periodic check, for conditions that depend
+     * on time alone. */
     struct timespec next = owner->check_due;
 
     owner_drain_tick(owner, target, now);
@@ -489,7 +498,7 @@
         if (owner->state != OWNER_ACTIVE) {
             break;
         }
-        /* Not at once again, whatever is overdue. */
+        /* At least 1 ms later, even if something is overdue. */
         owner_due_schedule(owner->due, entry,
                            cw_time_before(now, next) ? next
                                                      : cw_time_add_ms(now, 1));
@@ -506,7 +515,7 @@
     if (cw_time_before(now, owner->check_due)) {
         return;
     }
-    owner->check_due = cw_time_add_ms(now, CHECK_EVERY_MS);
+    owner->check_due = cw_time_add_ms(now, CHECK_INTERVAL_MS);
     owner_order_window_adjust(&owner->order_window);
     owner->placement_wanted = true;
     g_hash_table_iter_init(&iterator, owner->jobs);
@@ -525,8 +534,9 @@
     owner_idle_tick(owner, now);
 }
 
-/* A pass takes at most one part in PLACE_SHARE of the time, however long it
- * takes: leases and orders go before placement. */
+/* Runs a placement pass.  Passes take at most one part in
+ * PLACE_INTERVAL_FACTOR of the time, however long one takes: leases and orders
+ * take precedence over placement. */
 static void
 place(struct cw_owner *owner, struct timespec now)
 {
@@ -535,14 +545,14 @@
     owner->placement_wanted = false;
     owner_placement_pass(owner, now);
     took_ms = cw_time_diff_ms(now, owner_now(owner));
-    owner->placement_due =
-        cw_time_add_ms(now, MAX(PLACE_EVERY_MS, took_ms * PLACE_SHARE));
+    owner->placement_due = cw_time_add_ms(
+        now, MAX(PLACE_INTERVAL_MIN_MS, took_ms * PLACE_INTERVAL_FACTOR));
 }
 
 static struct timespec
 tick_active(struct cw_owner *owner, struct timespec now)
 {
-    struct timespec next = cw_time_add_ms(now, CHECK_EVERY_MS);
+    struct timespec next = cw_time_add_ms(now, CHECK_INTERVAL_MS);
 
     if (owner->yielding && !owner_may_order(owner, now)) {
         owner_drop_ownership(owner, "yielded");
@@ -565,14 +575,13 @@
     }
     cw_time_earlier(&next, tick_targets(owner, now));
     if (!cw_time_before(now, owner->sweep_due)) {
-        owner->sweep_due = cw_time_add_ms(now, SWEEP_EVERY_MS);
+        owner->sweep_due = cw_time_add_ms(now, SWEEP_INTERVAL_MS);
         owner_drop_old_records(owner);
     }
     return next;
 }
 
-/* Goes on with taking the shard over; returns when it wants to be called
- * next. */
+/* Continues a takeover; returns when it is to be called next. */
 static struct timespec
 tick_takeover(struct cw_owner *owner, struct timespec now)
 {
@@ -582,7 +591,7 @@
     cw_follower_tick(owner_state_reader_follower(owner->stored), now);
     owner_log_tick(owner->states_log, now);
     owner_log_tick(owner->jobs_log, now);
-    if (owner->state == OWNER_READING && has_read_up(owner, now)) {
+    if (owner->state == OWNER_READING && has_read_to_end(owner, now)) {
         fence_earlier_owners(owner);
     }
     if (owner->state == OWNER_FENCING &&
@@ -595,8 +604,8 @@
         cw_follower_read_now(cw_replica_follower(owner->options.replica));
         cw_follower_read_now(owner_state_reader_follower(owner->stored));
     }
-    if (owner->state == OWNER_CATCHING_UP && caught_up(owner)) {
-        begin_deciding(owner, now);
+    if (owner->state == OWNER_CATCHING_UP && has_caught_up(owner)) {
+        become_active(owner, now);
     }
     return next;
 }
--- a/src/owner/owner_candidacy.c
+++ b/src/owner/owner_candidacy.c
@@ -1,33 +1,35 @@
-/* Which VMs let the group deal them a shard: the strongest, unless none of
- * them decides.  An owner does most of the system's work, and a VM with an
- * eighth of a core falls behind where one with half a core does not.
+/* Which VMs join the group and so can be assigned a shard: those with the most
+ * processor capacity, unless none of them is active as the owner.  An owner
+ * does most of the system's work, and a VM with an eighth of a core falls
+ * behind where one with half a core does not.
  *
- * Every VM announces its share of a processor in the shard's log, where all
- * read it.  One that is much weaker than the strongest stays out of the group
- * while an owner's records arrive.  If none has come for a while it joins, and
- * leaves again when a stronger VM announces itself. */
+ * Every VM announces its processor capacity in the shard's log, which all VMs
+ * read.  A VM that is much weaker than the strongest stays out of the group
+ * while records of an owner arrive.  If none has arrived for QUIET_MS it
+ * joins, and leaves again when a stronger VM announces itself. */
 #include "owner/internal/owner_private.h"
 
 enum {
-    /* Below two thirds of the strongest a VM is weak: a hand-over costs a
-     * look at every worker, and must be worth it. */
-    WEAK_PARTS = 2,
-    STRONG_PARTS = 3,
-    /* So many VMs are never weak: they replace each other, and other VMs
-     * reach the store through them. */
-    STRONG_LEAST = 3,
-    /* Strong VMs replace a dead owner within the member's time to live,
-     * 1.3 s, and some 100 ms; owners write once a second at least. */
+    /* A VM is weak below two thirds of the strongest: a takeover polls every
+     * worker, so that a smaller difference is not worth one. */
+    WEAK_NUMERATOR = 2,
+    WEAK_DENOMINATOR = 3,
+    /* So many of the strongest VMs are never weak: they replace each other,
+     * and other VMs reach the store through them. */
+    STRONG_COUNT_MIN = 3,
+    /* Strong VMs replace a dead owner within the member's time to live, 1.3 s,
+     * and some 100 ms; owners write at least once a second. */
     QUIET_MS = 3000,
-    /* Without an answered read for so long it cannot tell. */
-    READING_MS = 2000,
+    /* If no read was answered for so long, a VM cannot know whether an owner
+     * is active. */
+    READ_AGE_MAX_MS = 2000,
     ANNOUNCE_TIMEOUT_MS = 900,
     ANNOUNCE_RETRY_MS = 700,
-    CHECK_MS = 250,
-    BEAT_MS = 1000
+    CHECK_INTERVAL_MS = 250,
+    HEARTBEAT_INTERVAL_MS = 1000
 };
 
-/* ---- what others announce ---- */
+/* ---- announced capacities ---- */
 
 static gint
 compare_descending(gconstpointer a, gconstpointer b)
@@ -38,20 +40,20 @@
     return left < right ? 1 : left > right ? -1 : 0;
 }
 
-/* From which capacity on a VM is not weak. */
+/* The capacity below which a VM is weak. */
 static unsigned
-bar_of(const GPtrArray *descending)
+weak_below(const GPtrArray *descending)
 {
-    unsigned most = GPOINTER_TO_UINT(descending->pdata[0]);
-    unsigned bar = most * WEAK_PARTS / STRONG_PARTS;
-    guint last = MIN(descending->len, STRONG_LEAST) - 1;
+    unsigned strongest = GPOINTER_TO_UINT(descending->pdata[0]);
+    unsigned threshold = strongest * WEAK_NUMERATOR / WEAK_DENOMINATOR;
+    guint last = MIN(descending->len, STRONG_COUNT_MIN) - 1;
 
-    return MIN(bar, GPOINTER_TO_UINT(descending->pdata[last]));
+    return MIN(threshold, GPOINTER_TO_UINT(descending->pdata[last]));
 }
 
-/* Judges all VMs anew, this one with them. */
+/* Computes anew which VMs are weak. */
 static void
-update(struct cw_owner *owner)
+update_threshold(struct cw_owner *owner)
 {
     struct owner_candidacy *candidacy = &owner->candidacy;
     GPtrArray *all = g_ptr_array_new();
@@ -63,7 +65,7 @@
         g_ptr_array_add(all, value);
     }
     g_ptr_array_sort(all, compare_descending);
-    candidacy->weak_below_milli = bar_of(all);
+    candidacy->weak_below_milli = weak_below(all);
     candidacy->some_weak = GPOINTER_TO_UINT(all->pdata[all->len - 1]) <
                            candidacy->weak_below_milli;
     g_ptr_array_unref(all);
@@ -74,7 +76,7 @@
 {
     g_hash_table_replace(owner->candidacy.capacities, g_strdup(vm),
                          GUINT_TO_POINTER(capacity_milli));
-    update(owner);
+    update_threshold(owner);
 }
 
 static bool
@@ -156,7 +158,8 @@
     struct owner_candidacy *candidacy = &owner->candidacy;
     struct cw_follower *jobs = cw_replica_follower(owner->options.replica);
 
-    if (cw_time_diff_ms(cw_follower_fresh_as_of(jobs), now) > READING_MS) {
+    if (cw_time_diff_ms(cw_follower_fresh_as_of(jobs), now) > READ_AGE_MAX_MS)
+    {
         candidacy->reading_since = now;
     }
     if (cw_follower_loaded(jobs) && !candidacy->announced &&
@@ -165,13 +168,14 @@
     {
         announce(owner);
     }
-    return cw_time_add_ms(now, CHECK_MS);
+    return cw_time_add_ms(now, CHECK_INTERVAL_MS);
 }
 
 /* ---- whether to join ---- */
 
 static bool
-nobody_decides(const struct owner_candidacy *candidacy, struct timespec now)
+no_owner_is_active(const struct owner_candidacy *candidacy,
+                   struct timespec now)
 {
     return cw_time_diff_ms(candidacy->owner_wrote_at, now) > QUIET_MS &&
            cw_time_diff_ms(candidacy->reading_since, now) > QUIET_MS;
@@ -190,9 +194,9 @@
     if (!is_weak(owner)) {
         return true;
     }
-    /* An announcement read since it joined is of a VM that lives. */
+    /* A VM whose announcement was read after this one joined is running. */
     return owner->partition_assigned ? !candidacy->outranked
-                                     : nobody_decides(candidacy, now);
+                                     : no_owner_is_active(candidacy, now);
 }
 
 bool
@@ -201,5 +205,5 @@
 {
     return owner->candidacy.some_weak &&
            cw_time_diff_ms(owner_log_last_sent_at(owner->jobs_log), now) >=
-               BEAT_MS;
+               HEARTBEAT_INTERVAL_MS;
 }
--- a/src/owner/owner_commit.c
+++ b/src/owner/owner_commit.c
@@ -1,32 +1,35 @@
-/* What the owner decided becomes durable; only then do its effects leave the
- * VM.
+/* Writes the owner's decisions to the store.  Orders that follow from a
+ * decision are sent only once it is durable.
  *
- * The state of a job goes into a log of its own, which a VM that takes the
- * shard over reads.  What callers ask for, where the job stands, goes into the
- * log that all VMs read, beside the jobs and their cancellations: a few bytes
- * when that changes.  The two are written side by side.  Starts and ends
- * depend on the state alone; a job is over once the other log says so. */
+ * The states of jobs go into a log of their own, which only a VM that takes
+ * the shard over reads.  The outcome of a job, its state without its tasks, is
+ * what callers query.  It goes into the log that all VMs read, beside the jobs
+ * and their cancellations: a few bytes whenever it changes.  The two logs are
+ * written concurrently.  Sending starts and confirming ends depends on the
+ * state alone; a job is over once its outcome says so. */
 #include "owner/internal/owner_private.h"
 
 #include <string.h>
 
 enum {
     FLUSH_EVERY_MS = 10,
-    /* Of a batch, so that one append stays far below the store's limit. */
+    /* A batch is closed at this size, which keeps one append far below the
+     * store's limit. */
     BATCH_BYTES_MAX = 512 * 1024,
     SWEEP_JOBS_MAX = 100,
-    /* States of past jobs are dropped with the next batch, or after this. */
+    /* States of jobs that are over are dropped with the next batch, or in a
+     * batch of their own after this. */
     DROP_ALONE_MS = 1000,
-    /* An owner that is to make way, or whose proof is old, goes on until it is
-     * shut out; so often it asks the store whether it has been.  A third of
-     * the age that a proof may have (1,150 ms with the shortest time to live).
-     */
-    YIELD_PROOF_MS = 400
+    /* An owner that is yielding, or whose last confirmation is old, continues
+     * until it is fenced; at this interval it appends to find out whether it
+     * has been.  A third of the age that a confirmation may have, 1,150 ms
+     * with the shortest time to live. */
+    YIELD_CONFIRM_INTERVAL_MS = 400
 };
 
 /* ---- states ---- */
 
-/* Runs of the job that become durable with this batch. */
+/* The job's new runs become durable with this batch. */
 static void
 mark_runs(const struct cw_owner *owner, struct owner_job *job)
 {
@@ -64,7 +67,7 @@
     return length;
 }
 
-/* Effects of a state that is durable. */
+/* Queues the starts of runs whose placement is durable now. */
 static void
 release_runs(struct cw_owner *owner, struct owner_job *job)
 {
@@ -98,7 +101,7 @@
     g_ptr_array_set_size(owner->ends_sent, 0);
 }
 
-/* The batch that is sent next holds what all ends applied have led to. */
+/* The batch that is sent next includes the effects of all applied ends. */
 static void
 collect_ends(struct cw_owner *owner)
 {
@@ -132,8 +135,8 @@
     }
 }
 
-/* Takes jobs out of the dirty list, up to a batch's size.  Returns true if
- * all were taken. */
+/* Moves states of dirty jobs into the batch, up to its size.  Returns true if
+ * none is left. */
 static bool
 add_states(struct cw_owner *owner, struct owner_batch *batch)
 {
@@ -176,7 +179,8 @@
         return owner_log_tick(log, now);
     }
     if (owner->dirty->len == 0) {
-        /* Ends that concern no job here need no record. */
+        /* Nothing is dirty: the applied ends concern no job known here, and
+         * are confirmed without a record. */
         collect_ends(owner);
         confirm_ends(owner);
         if (owner->past_states->len == 0 ||
@@ -198,7 +202,7 @@
     return cw_time_from_ms(INT32_MAX);
 }
 
-/* ---- what all VMs read ---- */
+/* ---- outcomes, which all VMs read ---- */
 
 void
 owner_job_publish(struct cw_owner *owner, struct owner_job *job)
@@ -228,8 +232,8 @@
     }
 }
 
-/* The record of an end is written once: its place in the log, before or
- * after a cancellation, is what decides between the two. */
+/* The outcome of a job that is over is written once: its position in the log,
+ * before or after a cancellation, decides which of the two counts. */
 static size_t
 add_outcome(struct owner_batch *batch, struct owner_job *job)
 {
@@ -261,23 +265,23 @@
 }
 
 static void
-send_beat(struct cw_owner *owner)
+send_heartbeat(struct cw_owner *owner)
 {
-    struct cw_beat_record beat = {.vm = owner->vm, .epoch = owner->epoch};
+    struct cw_beat_record heartbeat = {.vm = owner->vm, .epoch = owner->epoch};
     struct owner_batch *batch = owner_batch_new(NULL, NULL);
 
     owner_batch_put(batch, cw_work_key(CW_WORK_KEY_HEARTBEAT, "owner"),
-                    cw_xdr_encode((xdrproc_t)xdr_cw_beat_record, &beat));
+                    cw_xdr_encode((xdrproc_t)xdr_cw_beat_record, &heartbeat));
     owner_log_send(owner->jobs_log, batch);
 }
 
-/* True if the owner has to find out whether it has been shut out. */
+/* True if the owner has to find out by an append whether it was fenced. */
 static bool
-append_proof_due(const struct cw_owner *owner, struct timespec now)
+append_confirmation_due(const struct cw_owner *owner, struct timespec now)
 {
     return (owner->yielding || !owner_may_order(owner, now)) &&
            cw_time_diff_ms(owner_log_last_sent_at(owner->jobs_log), now) >=
-               YIELD_PROOF_MS;
+               YIELD_CONFIRM_INTERVAL_MS;
 }
 
 static struct timespec
@@ -293,8 +297,8 @@
     if (owner_epochs_write_settled(owner, now)) {
         return cw_time_from_ms(INT32_MAX);
     }
-    /* With many silent workers some note is always due: outcomes, which
-     * callers wait for, take turns with them. */
+    /* With many unresponsive workers some lease note is always due.  Outcomes,
+     * which callers wait for, are written in turn with the notes. */
     if ((owner->unpublished->len == 0 || !owner->lease_notes_sent) &&
         owner_lease_notes_send(owner, now))
     {
@@ -309,9 +313,9 @@
         send_outcomes(owner);
     }
     else if (owner_candidacy_heartbeat_due(owner, now) ||
-             append_proof_due(owner, now))
+             append_confirmation_due(owner, now))
     {
-        send_beat(owner);
+        send_heartbeat(owner);
     }
     return cw_time_from_ms(INT32_MAX);
 }
@@ -327,7 +331,7 @@
 
 /* ---- old jobs ---- */
 
-/* The state goes last: its end is what makes the VMs forget the job. */
+/* The outcome is dropped last: dropping it makes the VMs forget the job. */
 static void
 drop_keys(struct owner_batch *batch, const struct cw_replica_job *job)
 {
@@ -353,7 +357,7 @@
     unsigned count = 0;
 
     if (!owner_log_is_idle(owner->jobs_log)) {
-        return; /* the next sweep will do */
+        return; /* until the next sweep */
     }
     batch = owner_batch_new(NULL, NULL);
     g_hash_table_iter_init(&iterator, jobs);
--- a/src/owner/owner_epochs.c
+++ b/src/owner/owner_epochs.c
@@ -1,67 +1,70 @@
-/* Until when leases last that were given before this owner took over.
+/* When the leases expire that earlier owners gave.
  *
- * An owner may be deposed without knowing it, and extends leases for
- * EXTEND_PROOF_MS after the store confirmed it last.  So a worker that does
- * not answer the next owner may be at work until such a lease is over.  That
- * is the bound for an owner of which nothing is known.  It is less where the
- * log of jobs tells more:
+ * An owner may have been replaced without knowing it, and renews leases for
+ * EXTEND_UNCONFIRMED_MAX_MS after the store last confirmed its ownership.  A
+ * worker that does not answer the next owner may therefore go on working until
+ * such a lease has expired.  That is the bound for an owner of which nothing
+ * is known.  Records in the log of jobs lower it:
  *
- * - An owner writes the epoch under which it decides before it gives a lease.
- * - A VM that decides no more, or has started again, writes that its last
- *   epoch is over, and how long what it gave may last.
- * - Once all that earlier owners gave is over, the owner writes that too, and
- *   VMs that take over after it need not consider those.
+ * - An owner writes its epoch before it gives the first lease under it.
+ * - A VM that has lost ownership, or has restarted, writes that its last epoch
+ *   has ended, and how long the leases it gave may still last.
+ * - Once all leases of earlier owners have expired, the owner writes that as
+ *   well: the epochs below its own are settled, and VMs that take over later
+ *   need not consider them.
  */
 #include "owner/internal/owner_private.h"
 
 #include <string.h>
 
 enum {
-    /* Leases go on being extended so long without a proof, to carry work over
-     * an outage of the store. */
-    EXTEND_PROOF_MS = 6000,
-    TIMEOUT_MS = 900,
+    /* Leases are renewed for so long without a new confirmation, so that work
+     * survives an outage of the store. */
+    EXTEND_UNCONFIRMED_MAX_MS = 6000,
+    APPEND_TIMEOUT_MS = 900,
     RETRY_MS = 300,
-    /* Workers in a record; some 30 bytes each. */
-    SOONER_MOST = 500
+    /* Workers listed in a record, at some 30 bytes each. */
+    SOONER_ROWS_MAX = 500
 };
 
-/* An append under way; it may outlast its owner. */
+/* An append in flight; it may outlive the owner. */
 struct call {
     struct owner_epochs *epochs; /* NULL once the owner is gone */
     uint64_t epoch;
 };
 
 struct owner_epochs {
-    struct timespec began; /* this life of the VM */
-    /* What this VM gave under epochs that have ended.  Until it knows that a
-     * former life gave nothing, it counts as having given a lease. */
-    uint64_t given_epoch;        /* the last of them; 0 none */
-    struct timespec given_until; /* of any worker */
-    GHashTable *sooner;          /* worker -> struct timespec: its own */
-    bool unreported;             /* the log does not have it yet */
-    struct call *call;
+    struct timespec vm_started_at;
+    /* Leases that this VM gave under epochs that have ended.  Until this VM
+     * knows whether an earlier process of it gave leases, it assumes one that
+     * was given just before the present process started. */
+    uint64_t given_epoch;        /* the last of those epochs; 0 none */
+    struct timespec given_until; /* the latest end of lease of any worker */
+    GHashTable *sooner;          /* worker -> struct timespec: its own end of
+                                    lease, where it is earlier */
+    bool end_unwritten;          /* the log does not have the end yet */
+    struct call *call;           /* that writes it, or NULL */
     struct timespec due;
-    /* As the owner. */
-    bool sent;     /* its epoch may stand in the log */
-    bool recorded; /* ... and does */
-    bool settling; /* that all before is over is being written */
-    struct timespec decides_since;
-    struct timespec settle_at; /* all that earlier owners gave is over */
+    /* While this VM takes over or is the owner. */
+    bool begin_sent;   /* the record of its epoch may be in the log */
+    bool begin_stored; /* it is in the log */
+    bool settled_sent; /* the record that earlier epochs are settled */
+    struct timespec active_since;
+    struct timespec settle_due; /* when earlier owners' leases have expired */
 };
 
-/* How long a lease may last, by our clock, from when the last order that gave
- * one was sent. */
+/* How long a lease may last, by this VM's clock, after the last order that
+ * gave it was sent. */
 static int64_t
 lasts_ms(int64_t lease_ms)
 {
     return owner_with_drift_ms(lease_ms) + OWNER_ORDER_DELAY_MAX_MS;
 }
 
-/* True if a worker of the service may start again under its id: an order that
- * is under way may meet its next life, whose clock is another. */
+/* True if some worker reports when it booted: it may restart under its id, and
+ * an order in flight may reach its next incarnation, whose clock differs. */
 static bool
-workers_tell_lives(const struct cw_owner *owner)
+any_worker_reports_boot(const struct cw_owner *owner)
 {
     GHashTableIter iterator;
     gpointer value;
@@ -81,8 +84,8 @@
 static int64_t
 longest_given_ms(const struct cw_owner *owner)
 {
-    return workers_tell_lives(owner) ? owner->options.lease_ms
-                                     : owner_lease_max_granted_ms(owner);
+    return any_worker_reports_boot(owner) ? owner->options.lease_ms
+                                          : owner_lease_max_granted_ms(owner);
 }
 
 struct owner_epochs *
@@ -90,10 +93,10 @@
 {
     struct owner_epochs *epochs = g_new0(struct owner_epochs, 1);
 
-    /* A former life of this VM ended before this one began. */
-    epochs->began = owner_now(owner);
-    epochs->given_until =
-        cw_time_add_ms(epochs->began, lasts_ms(owner->options.lease_ms));
+    /* An earlier process of this VM ended before this one began. */
+    epochs->vm_started_at = owner_now(owner);
+    epochs->given_until = cw_time_add_ms(epochs->vm_started_at,
+                                         lasts_ms(owner->options.lease_ms));
     epochs->sooner =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return epochs;
@@ -114,39 +117,40 @@
 {
     return owner->state == OWNER_ACTIVE &&
            cw_time_diff_ms(owner->ownership_confirmed_at, now) <
-               EXTEND_PROOF_MS;
+               EXTEND_UNCONFIRMED_MAX_MS;
 }
 
-/* ---- bounds ---- */
+/* ---- leases of earlier owners ---- */
 
-/* Leases that were given under epochs below this one are over; 0: that is not
- * known of any. */
+/* The highest epoch of which is known that all leases given under lower ones
+ * have expired; 0: none. */
 static uint64_t
 settled_below(const struct cw_owner *owner)
 {
     GHashTableIter iterator;
     gpointer value;
-    uint64_t most = 0;
+    uint64_t highest = 0;
 
     g_hash_table_iter_init(&iterator,
                            cw_replica_epochs(owner->options.replica));
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct cw_replica_epoch *epoch = value;
 
-        most = MAX(most, epoch->settled_below);
+        highest = MAX(highest, epoch->settled_below);
     }
-    return most;
+    return highest;
 }
 
-/* When what an owner gave is over that may not know yet that it is none. */
+/* When the leases expire of an earlier owner that may not know yet that it was
+ * replaced. */
 static struct timespec
 end_of_open(const struct cw_owner *owner, int64_t lease_ms)
 {
-    return cw_time_add_ms(owner->epochs->decides_since,
-                          EXTEND_PROOF_MS + lasts_ms(lease_ms));
+    return cw_time_add_ms(owner->epochs->active_since,
+                          EXTEND_UNCONFIRMED_MAX_MS + lasts_ms(lease_ms));
 }
 
-/* When what another VM gave the worker, or any worker, is over. */
+/* When a lease expires that another VM gave the worker; NULL: any worker. */
 static struct timespec
 end_of_other(const struct cw_owner *owner,
              const struct cw_replica_epoch *epoch, const char *worker)
@@ -158,7 +162,7 @@
         epoch->end_read_at, cw_replica_epoch_lease_left_ms(epoch, worker));
 }
 
-/* The same for this VM, before it took over. */
+/* The same for leases that this VM gave before its present epoch. */
 static struct timespec
 end_of_own(const struct owner_epochs *epochs, const char *worker)
 {
@@ -176,7 +180,8 @@
     }
 }
 
-/* When all is over that earlier owners gave the worker; NULL: any worker. */
+/* When all leases have expired that earlier owners gave the worker; NULL: any
+ * worker. */
 static struct timespec
 end_of_earlier(const struct cw_owner *owner, const char *worker)
 {
@@ -206,30 +211,30 @@
 owner_epochs_bound_leases(struct cw_owner *owner, struct timespec now)
 {
     struct owner_epochs *epochs = owner->epochs;
-    bool any = false;
+    bool any_runs = false;
     GHashTableIter iterator;
     gpointer value;
 
-    epochs->decides_since = now;
+    epochs->active_since = now;
     g_hash_table_iter_init(&iterator, owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct owner_target *target = value;
 
         if (target->runs->len > 0) {
-            any = true;
+            any_runs = true;
             target->lease_end = end_of_earlier(owner, target->id);
             target->lease_source = OWNER_LEASE_EARLIER_OWNER;
             target->poll_due = now;
             owner_target_wake(target);
         }
     }
-    /* Without runs it does not matter what leases last. */
-    epochs->settle_at = any ? end_of_earlier(owner, NULL) : now;
+    /* Without runs it does not matter how long leases last. */
+    epochs->settle_due = any_runs ? end_of_earlier(owner, NULL) : now;
     cw_log_info("earlier_leases",
                 "shard=%u epoch=%" PRIu64 " settled_below=%" PRIu64
                 " left_ms=%" PRId64,
                 owner->options.partition, owner->epoch, settled_below(owner),
-                cw_time_diff_ms(now, epochs->settle_at));
+                cw_time_diff_ms(now, epochs->settle_due));
 }
 
 void
@@ -239,10 +244,10 @@
     GHashTableIter iterator;
     gpointer value;
 
-    if (strcmp(vm, owner->vm) == 0 || epochs->settling) {
+    if (strcmp(vm, owner->vm) == 0 || epochs->settled_sent) {
         return;
     }
-    cw_time_earlier(&epochs->settle_at, end_of_earlier(owner, NULL));
+    cw_time_earlier(&epochs->settle_due, end_of_earlier(owner, NULL));
     g_hash_table_iter_init(&iterator, owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct owner_target *target = value;
@@ -256,10 +261,10 @@
     cw_log_info("earlier_leases_end",
                 "shard=%u epoch=%" PRIu64 " vm=%s left_ms=%" PRId64,
                 owner->options.partition, owner->epoch, vm,
-                cw_time_diff_ms(owner_now(owner), epochs->settle_at));
+                cw_time_diff_ms(owner_now(owner), epochs->settle_due));
 }
 
-/* ---- while this VM decides ---- */
+/* ---- while this VM is the owner ---- */
 
 static struct owner_batch *
 epoch_batch(struct cw_owner *owner, uint64_t settled,
@@ -277,12 +282,12 @@
 }
 
 static void
-on_recorded(void *context, struct owner_batch *batch)
+on_begin_stored(void *context, struct owner_batch *batch)
 {
     struct cw_owner *owner = context;
 
     (void)batch;
-    owner->epochs->recorded = true;
+    owner->epochs->begin_stored = true;
 }
 
 void
@@ -290,20 +295,20 @@
 {
     struct owner_epochs *epochs = owner->epochs;
 
-    epochs->sent = true;
-    epochs->recorded = false;
-    epochs->settling = false;
+    epochs->begin_sent = true;
+    epochs->begin_stored = false;
+    epochs->settled_sent = false;
     owner_log_send(owner->jobs_log,
-                   epoch_batch(owner, settled_below(owner), on_recorded));
+                   epoch_batch(owner, settled_below(owner), on_begin_stored));
 }
 
 bool
 owner_epochs_begin_is_stored(const struct cw_owner *owner)
 {
-    return owner->epochs->recorded;
+    return owner->epochs->begin_stored;
 }
 
-/* What VMs said of earlier epochs is of no use any more. */
+/* Drops the records of other VMs' earlier epochs, which are settled. */
 static void
 drop_earlier(const struct cw_owner *owner, struct owner_batch *batch)
 {
@@ -330,22 +335,22 @@
     struct owner_epochs *epochs = owner->epochs;
     struct owner_batch *batch;
 
-    if (epochs->settling || !owner_may_order(owner, now) ||
-        cw_time_before(now, epochs->settle_at))
+    if (epochs->settled_sent || !owner_may_order(owner, now) ||
+        cw_time_before(now, epochs->settle_due))
     {
         return false;
     }
-    epochs->settling = true;
+    epochs->settled_sent = true;
     batch = epoch_batch(owner, owner->epoch, NULL);
     drop_earlier(owner, batch);
     owner_log_send(owner->jobs_log, batch);
     return true;
 }
 
-/* ---- once it decides no more ---- */
+/* ---- after ownership ended ---- */
 
-/* Until when the worker's lease may last.  What is under way to a worker that
- * answers may meet its next life. */
+/* When the worker's lease expires.  An order in flight to a worker that
+ * answers may reach its next incarnation and give that a lease. */
 static struct timespec
 end_of_current(const struct owner_target *target)
 {
@@ -354,10 +359,11 @@
                : cw_time_add_ms(target->lease_end, OWNER_ORDER_DELAY_MAX_MS);
 }
 
-/* Workers whose leases end before those of others.  Where this VM knows of no
- * run any more, the next owner may: an end was listed and is not stored. */
+/* Collects workers whose leases expire before the latest.  Workers without
+ * runs are included: an end may have been listed to this VM and not be stored,
+ * so that the next owner still knows the run. */
 static void
-collect_sooner(struct cw_owner *owner, bool unanswered_polls)
+collect_sooner(struct cw_owner *owner, bool unresponsive)
 {
     struct owner_epochs *epochs = owner->epochs;
     GHashTableIter iterator;
@@ -365,12 +371,12 @@
 
     g_hash_table_iter_init(&iterator, owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value) &&
-           g_hash_table_size(epochs->sooner) < SOONER_MOST)
+           g_hash_table_size(epochs->sooner) < SOONER_ROWS_MAX)
     {
         const struct owner_target *target = value;
         struct timespec end = end_of_current(target);
 
-        if ((target->unanswered_polls > 0) == unanswered_polls &&
+        if ((target->unanswered_polls > 0) == unresponsive &&
             target->lease_end.tv_sec > 0 &&
             cw_time_before(end, epochs->given_until))
         {
@@ -385,12 +391,12 @@
 {
     struct owner_epochs *epochs = owner->epochs;
 
-    if (!epochs->sent) {
+    if (!epochs->begin_sent) {
         return;
     }
-    epochs->sent = false;
+    epochs->begin_sent = false;
     epochs->given_epoch = owner->epoch;
-    epochs->unreported = true;
+    epochs->end_unwritten = true;
     if (owner->state == OWNER_ACTIVE) {
         epochs->given_until = cw_time_add_ms(
             owner_now(owner), lasts_ms(longest_given_ms(owner)));
@@ -400,21 +406,21 @@
     }
 }
 
-/* A former life of this VM has left its epoch in the log. */
+/* Takes up an epoch that an earlier process of this VM left in the log. */
 static void
-note_former_life(struct cw_owner *owner)
+adopt_former_epoch(struct cw_owner *owner)
 {
     struct owner_epochs *epochs = owner->epochs;
     const struct cw_replica_epoch *own = g_hash_table_lookup(
         cw_replica_epochs(owner->options.replica), owner->vm);
 
-    if (own != NULL && !epochs->sent && !cw_replica_epoch_has_ended(own) &&
-        own->epoch > epochs->given_epoch)
+    if (own != NULL && !epochs->begin_sent &&
+        !cw_replica_epoch_has_ended(own) && own->epoch > epochs->given_epoch)
     {
         epochs->given_epoch = own->epoch;
         epochs->given_until =
-            cw_time_add_ms(epochs->began, lasts_ms(own->lease_ms));
-        epochs->unreported = true;
+            cw_time_add_ms(epochs->vm_started_at, lasts_ms(own->lease_ms));
+        epochs->end_unwritten = true;
     }
 }
 
@@ -452,7 +458,7 @@
 }
 
 static void
-on_reported(void *context, const struct cw_store_append_result *result)
+on_end_written(void *context, const struct cw_store_append_result *result)
 {
     struct call *call = context;
     struct owner_epochs *epochs = call->epochs;
@@ -461,7 +467,7 @@
         epochs->call = NULL;
         if (result->status == CW_STORE_OK &&
             call->epoch == epochs->given_epoch) {
-            epochs->unreported = false;
+            epochs->end_unwritten = false;
             cw_log_info("epoch_ended", "epoch=%" PRIu64 " offset=%" PRIu64,
                         call->epoch, result->first);
         }
@@ -470,7 +476,7 @@
 }
 
 static void
-report_end(struct cw_owner *owner, struct timespec now)
+write_end(struct cw_owner *owner, struct timespec now)
 {
     struct owner_epochs *epochs = owner->epochs;
     struct call *call = g_new0(struct call, 1);
@@ -482,8 +488,8 @@
                                      .partition = owner->options.partition,
                                      .records = &record,
                                      .count = 1,
-                                     .timeout_ms = TIMEOUT_MS,
-                                     .done = on_reported,
+                                     .timeout_ms = APPEND_TIMEOUT_MS,
+                                     .done = on_end_written,
                                      .context = call};
 
     call->epochs = epochs;
@@ -499,13 +505,13 @@
 {
     struct owner_epochs *epochs = owner->epochs;
 
-    note_former_life(owner);
-    if (!epochs->unreported || epochs->call != NULL) {
+    adopt_former_epoch(owner);
+    if (!epochs->end_unwritten || epochs->call != NULL) {
         return cw_time_from_ms(INT32_MAX);
     }
     if (!cw_time_before(now, epochs->due)) {
         epochs->due = cw_time_add_ms(now, RETRY_MS);
-        report_end(owner, now);
+        write_end(owner, now);
     }
     return epochs->due;
 }
--- a/src/owner/owner_group.c
+++ b/src/owner/owner_group.c
@@ -1,10 +1,10 @@
-/* Membership of the group that deals the shards. */
+/* Membership of the group whose members are assigned the shards. */
 #include "owner/internal/owner_private.h"
 
 enum {
-    /* A fifth of the member's time to live: several lost calls in a row do
-     * not lose the shard. */
-    JOIN_PARTS = 5,
+    /* Joins are repeated so many times in the member's time to live: several
+     * calls lost in a row do not lose the shard. */
+    JOINS_PER_TTL = 5,
     JOIN_TIMEOUT_MS = 700
 };
 
@@ -19,8 +19,9 @@
     return false;
 }
 
-/* Another VM is to own the shard.  This one goes on until the other has
- * shut it out, so that there is no gap, or until its last proof is old. */
+/* Another VM is to own the shard.  This one continues until the other has
+ * fenced it, so that there is no time without an owner, or until its last
+ * confirmation is too old. */
 static void
 yield(struct cw_owner *owner, const char *reason)
 {
@@ -33,11 +34,12 @@
                 owner->options.partition, owner->epoch, reason);
 }
 
-/* True if membership proves ownership.  A member that the group has not heard
- * for its time to live may have lost the shard, and got it back, meanwhile:
- * then only what the store takes under the epoch proves it. */
+/* True if membership confirms ownership.  A member that the store received no
+ * join from for its time to live may have lost the shard and got it back
+ * meanwhile: then only an append that the store accepts under the epoch
+ * confirms ownership. */
 static bool
-proves(const struct cw_owner *owner, struct timespec now)
+join_confirms_ownership(const struct cw_owner *owner, struct timespec now)
 {
     return owner->state != OWNER_ACTIVE ||
            cw_time_diff_ms(owner->ownership_confirmed_at, now) <
@@ -52,7 +54,7 @@
 
     owner->generation = result->generation;
     owner->joined = true;
-    if (has && proves(owner, now)) {
+    if (has && join_confirms_ownership(owner, now)) {
         owner_confirm_ownership(owner, owner->join_sent);
     }
     if (has && !owner->partition_assigned && !owner->leaving) {
@@ -77,7 +79,7 @@
 
     owner->join_in_flight = false;
     owner->join_due = cw_time_add_ms(
-        owner->join_sent, owner->options.member_ttl_ms / JOIN_PARTS);
+        owner->join_sent, owner->options.member_ttl_ms / JOINS_PER_TTL);
     if (result->status == CW_STORE_OK && !owner->leaving) {
         take_join(owner, result, now);
     }
@@ -114,7 +116,7 @@
     cw_log_info("group_left", "status=%s", cw_store_status_name(status));
 }
 
-/* Without an answer the group forgets the member after its time to live. */
+/* If this call is lost, the group drops the member after its time to live. */
 static void
 send_leave(struct cw_owner *owner, const char *reason)
 {
@@ -145,17 +147,17 @@
     }
 }
 
-/* Notes that this VM begins to let itself be dealt the shard, or stops. */
+/* Records whether this VM is a candidate for the shard. */
 static void
-set_candidate(struct cw_owner *owner, bool wants)
+set_candidate(struct cw_owner *owner, bool is_wanted)
 {
     struct owner_candidacy *candidacy = &owner->candidacy;
 
-    if (wants == candidacy->is_candidate) {
+    if (is_wanted == candidacy->is_candidate) {
         return;
     }
-    candidacy->is_candidate = wants;
-    if (wants) {
+    candidacy->is_candidate = is_wanted;
+    if (is_wanted) {
         candidacy->outranked = false;
         cw_log_info("group_joins", "capacity=%u bar=%u",
                     owner->options.capacity_milli,
--- a/src/owner/owner_hints.c
+++ b/src/owner/owner_hints.c
@@ -1,38 +1,39 @@
-/* Hinted handoff of ends: what a VM saw as its owner and could not store is
- * told to whoever decides next.
+/* Hinted handoff: passes ends of runs that an owner received and could not
+ * store to the next owner.
  *
- * A VM that is cut off from the store goes on asking workers; what they list
- * as ended is forgotten with its ownership.  Where the worker has left by
- * then, nobody else can learn of it: the task runs a second time, once the
- * worker's lease is over.  So such ends are appended to the log of jobs, as
- * any VM may, as soon as the store can be reached.  A run's number is never
- * used twice: what is told of it holds whenever it is read. */
+ * An owner that is disconnected from the store continues to poll workers, but
+ * loses the ends that they list when it loses ownership.  If a worker has shut
+ * down by then, no other VM can learn of them, and the tasks run a second time
+ * once the worker's lease has expired.  Such ends are therefore appended to
+ * the log of jobs as soon as the store can be reached; any VM may do that. The
+ * number of a run is never reused, so that a hint stays valid whenever it is
+ * read. */
 #include "owner/internal/owner_private.h"
 
 #include <string.h>
 
 enum {
-    /* Ends are stored within this, or the VM is cut off for longer than any
-     * worker's lease lasts. */
-    KEPT_MS = 30000,
-    KEPT_MOST = 4096,
-    /* An append holds some 60 bytes for an end. */
-    JOBS_A_CALL = 256,
+    /* An older end is stored, or the VM has been disconnected for longer than
+     * any worker's lease lasts and the hint would come too late. */
+    END_AGE_MAX_MS = 30000,
+    ENDS_MAX = 4096,
+    /* An end takes some 60 bytes of an append. */
+    JOBS_PER_APPEND_MAX = 256,
     RETRY_MS = 300,
-    TIMEOUT_MS = 1500
+    APPEND_TIMEOUT_MS = 1500
 };
 
 /* An end that was applied. */
 struct end {
-    struct timespec at;
+    struct timespec applied_at;
     char *worker;
-    int64_t boot_ms; /* of the worker's life */
+    int64_t boot_ms; /* of the worker's incarnation */
     char *job;
-    struct cw_ended what; /* its texts are the ones above, and `saved` */
+    struct cw_ended ended; /* borrows its texts from `job` and `saved` */
     char *saved;
 };
 
-/* An append under way; it may outlast its owner. */
+/* An append in flight; it may outlive the owner. */
 struct call {
     struct owner_hints *hints; /* NULL once the owner is gone */
     unsigned ends;
@@ -40,7 +41,7 @@
 
 struct owner_hints {
     GQueue applied; /* struct end: may not be stored yet */
-    GQueue unsent;  /* struct end: not known to be stored, nor told */
+    GQueue unsent;  /* struct end: to be appended as hints */
     struct call *call;
     struct timespec due;
 };
@@ -77,15 +78,16 @@
     g_free(hints);
 }
 
-/* ---- while this VM decides ---- */
+/* ---- while this VM is the owner ---- */
 
 static void
 drop_old(GQueue *ends, struct timespec now)
 {
     const struct end *oldest = g_queue_peek_head(ends);
 
-    while (oldest != NULL && (cw_time_diff_ms(oldest->at, now) > KEPT_MS ||
-                              g_queue_get_length(ends) > KEPT_MOST))
+    while (oldest != NULL &&
+           (cw_time_diff_ms(oldest->applied_at, now) > END_AGE_MAX_MS ||
+            g_queue_get_length(ends) > ENDS_MAX))
     {
         end_free(g_queue_pop_head(ends));
         oldest = g_queue_peek_head(ends);
@@ -98,23 +100,24 @@
     struct cw_owner *owner = target->owner;
     struct end *end = g_new0(struct end, 1);
 
-    end->at = owner_now(owner);
+    end->applied_at = owner_now(owner);
     end->worker = g_strdup(target->id);
     end->boot_ms = target->incarnation.boot_ms;
     end->job = g_strdup(ended->task.job);
     end->saved = g_strdup(ended->saved != NULL ? ended->saved : "");
-    end->what = *ended;
-    end->what.task.job = end->job;
-    end->what.saved = end->saved;
+    end->ended = *ended;
+    end->ended.task.job = end->job;
+    end->ended.saved = end->saved;
     g_queue_push_tail(&owner->hints->applied, end);
-    drop_old(&owner->hints->applied, end->at);
+    drop_old(&owner->hints->applied, end->applied_at);
 }
 
-/* True if the next owner can learn of the end without this VM: it is stored,
- * or its worker stays and lists it until it is.  All VMs read what is told, so
- * that thousands of ends after an outage must not be. */
+/* True if the next owner learns of the end without a hint: it is stored, or
+ * its worker is not about to leave and lists the end until it is stored.  All
+ * VMs read hints, so that thousands of ends after an outage must not become
+ * hints. */
 static bool
-is_known_elsewhere(const struct cw_owner *owner, const struct end *end)
+needs_no_hint(const struct cw_owner *owner, const struct end *end)
 {
     const struct owner_target *target =
         g_hash_table_lookup(owner->targets, end->worker);
@@ -122,7 +125,7 @@
     if (target == NULL || target->incarnation.boot_ms != end->boot_ms) {
         return false;
     }
-    return end->what.number <= target->incarnation.ends_durable ||
+    return end->ended.number <= target->incarnation.ends_durable ||
            (target->listed && !target->draining && !target->superseded);
 }
 
@@ -134,7 +137,7 @@
 
     drop_old(&hints->applied, owner_now(owner));
     while ((end = g_queue_pop_head(&hints->applied)) != NULL) {
-        if (is_known_elsewhere(owner, end)) {
+        if (needs_no_hint(owner, end)) {
             end_free(end);
         }
         else {
@@ -143,18 +146,18 @@
     }
 }
 
-/* ---- telling ---- */
+/* ---- appending hints ---- */
 
 static void
 add_end(GArray *ends, const struct end *end)
 {
     struct cw_hint_end row = {
         .worker = end->worker,
-        .occurrence = end->what.task.occurrence,
-        .step = end->what.task.step,
-        .index = end->what.task.index,
-        .run = end->what.run,
-        .how = end->what.how,
+        .occurrence = end->ended.task.occurrence,
+        .step = end->ended.task.step,
+        .index = end->ended.task.index,
+        .run = end->ended.run,
+        .how = end->ended.how,
         .saved = end->saved,
     };
 
@@ -169,8 +172,8 @@
     g_array_free(ends, TRUE);
 }
 
-/* What is to be told, by job: job -> array of struct cw_hint_end.  Borrows
- * from the ends; `taken` is how many of them, from the first on. */
+/* The ends to append, by job: job -> GArray of struct cw_hint_end.  Borrows
+ * from the ends; `taken` becomes how many of them, from the first on. */
 static GHashTable *
 group_by_job(const struct owner_hints *hints, unsigned *taken)
 {
@@ -183,7 +186,7 @@
         GArray *ends = g_hash_table_lookup(jobs, end->job);
 
         if (ends == NULL) {
-            if (g_hash_table_size(jobs) == JOBS_A_CALL) {
+            if (g_hash_table_size(jobs) == JOBS_PER_APPEND_MAX) {
                 break;
             }
             ends = g_array_new(FALSE, FALSE, sizeof(struct cw_hint_end));
@@ -216,15 +219,15 @@
     g_free(call);
 }
 
-/* A key of its own: what another VM tells of the job stands beside it. */
+/* A unique key for a hint on the job: hints of other VMs are not replaced. */
 static char *
 hint_key(const char *job)
 {
     char *key = cw_work_key(CW_WORK_KEY_HINT, job);
-    char *own = g_strdup_printf("%s.%08x", key, g_random_int());
+    char *unique = g_strdup_printf("%s.%08x", key, g_random_int());
 
     g_free(key);
-    return own;
+    return unique;
 }
 
 static void
@@ -240,7 +243,7 @@
         g_ptr_array_new_with_free_func((GDestroyNotify)g_byte_array_unref);
     struct cw_store_append append = {.topic = CW_JOBS_TOPIC,
                                      .partition = owner->options.partition,
-                                     .timeout_ms = TIMEOUT_MS,
+                                     .timeout_ms = APPEND_TIMEOUT_MS,
                                      .done = on_appended,
                                      .context = call};
     GHashTableIter iterator;
@@ -291,7 +294,7 @@
     return hints->due;
 }
 
-/* ---- taking over ---- */
+/* ---- takeover ---- */
 
 static void
 apply_end(struct cw_owner *owner, const char *job,
--- a/src/owner/owner_log.c
+++ b/src/owner/owner_log.c
@@ -1,4 +1,4 @@
-/* Fenced appends to one topic, one at a time, each until it is stored. */
+/* Fenced appends to one topic, one at a time, each retried until stored. */
 #include "owner/internal/owner_log.h"
 
 #include <inttypes.h>
@@ -6,22 +6,22 @@
 #include "curlewcart/cw_log.h"
 
 enum {
-    /* An append takes a few ms, and up to a quarter second while the store
-     * is slow; a cut shows within this. */
+    /* An append takes a few ms, and up to 250 ms while the
+     * store is slow; a broken connection is noticed after this. */
     APPEND_TIMEOUT_MS = 900,
     RETRY_MS = 80
 };
 
 struct owner_batch {
-    struct owner_log *log; /* NULL: not sent, or its log was closed */
+    struct owner_log *log; /* NULL: not sent, or the log was closed */
     owner_batch_stored stored;
     void *context;
-    GPtrArray *jobs;   /* char * */
+    GPtrArray *jobs;   /* char *, ids */
     GPtrArray *keys;   /* char *, of the records */
     GPtrArray *values; /* GByteArray *, NULL: the key is dropped */
     uint64_t sequence;
     bool in_flight;
-    bool unsure; /* an attempt had no answer */
+    bool unconfirmed; /* an attempt had no answer: it may be stored */
     struct timespec sent;
     struct timespec due;
 };
@@ -32,7 +32,7 @@
     uint64_t sequence; /* of the next batch */
     bool open;
     uint64_t opened_at;
-    struct owner_batch *batch; /* under way */
+    struct owner_batch *batch; /* in flight, or NULL */
     struct timespec sent;
 };
 
@@ -138,15 +138,16 @@
     batch->due = cw_time_add_ms(log_now(log), RETRY_MS);
 }
 
-/* The store expects another number than the batch's. */
+/* The store expects another sequence number than the batch's.  If it is the
+ * next one, an attempt without an answer was stored. */
 static void
 out_of_sequence(struct owner_log *log, struct owner_batch *batch,
                 uint64_t expected)
 {
-    if (batch->unsure && expected == batch->sequence + 1) {
+    if (batch->unconfirmed && expected == batch->sequence + 1) {
         batch_stored(log, batch);
     }
-    else if (batch->unsure) {
+    else if (batch->unconfirmed) {
         lose(log, "sequence");
     }
     else {
@@ -181,7 +182,7 @@
         out_of_sequence(log, batch, result->expected_sequence);
         break;
     case CW_STORE_UNKNOWN:
-        batch->unsure = true;
+        batch->unconfirmed = true;
         try_again(log, batch, result->status);
         break;
     default:
@@ -258,7 +259,7 @@
     owner_log_close(log);
     log->epoch = epoch;
     log->sequence = 0;
-    /* An append without records only sets the epoch. */
+    /* An append without records sets the epoch and nothing else. */
     owner_log_send(log, owner_batch_new(NULL, NULL));
 }
 
--- a/src/owner/owner_memo.c
+++ b/src/owner/owner_memo.c
@@ -1,13 +1,14 @@
-/* Shapes that found no place in a pass of placement.
+/* Remembers the shapes of steps that could not be placed in a placement pass.
  *
- * Within a pass room only shrinks, until a run is dropped.  So what is as
- * demanding as a step that found nothing needs no look of its own: with
- * thousands of waiting tasks that is nearly all of them. */
+ * Within a pass free capacity only shrinks, until a run is dropped.  A step
+ * that is at least as demanding as one that could not be placed is therefore
+ * skipped without a search.  With thousands of waiting tasks that applies to
+ * nearly all of them. */
 #include "owner/internal/owner_placement.h"
 
 #include <string.h>
 
-/* What decides whether a step finds a place. */
+/* What determines whether a step can be placed. */
 struct shape {
     enum owner_attempt attempt;
     const char *service; /* interned */
@@ -17,8 +18,8 @@
     unsigned priority;
     unsigned gang; /* members; 0: tasks that are placed one by one */
     bool needs_rack;
-    bool exempt;     /* from what is kept for urgent work */
-    bool guaranteed; /* may take from equally urgent work */
+    bool exempt;     /* may use the headroom reserved for urgent work */
+    bool guaranteed; /* may preempt equally urgent work */
 };
 
 struct owner_memo {
@@ -73,34 +74,35 @@
 }
 
 static bool
-needs_no_less(const struct cw_resources *x, const struct cw_resources *y)
+needs_at_least(const struct cw_resources *x, const struct cw_resources *y)
 {
     return x->cpu_milli >= y->cpu_milli && x->memory_mb >= y->memory_mb &&
            x->accelerators >= y->accelerators;
 }
 
-/* True if `step` finds nothing where `failed` did not. */
+/* True if `step` is at least as hard to place as `failed`. */
 static bool
-is_no_easier(const struct shape *step, const struct shape *failed)
+is_as_hard(const struct shape *step, const struct shape *failed)
 {
     return step->attempt == failed->attempt &&
            step->priority >= failed->priority &&
            (!step->exempt || failed->exempt) &&
            (!step->guaranteed || failed->guaranteed) &&
            step->gang >= failed->gang &&
-           /* One that no rack could hold is spread: of those that need one
-            * nothing follows for it, however small they are. */
+           /* A gang that no rack can hold is spread over racks.  A failure of
+            * a gang that needs a rack says nothing about it, however small
+            * that gang is. */
            (failed->gang == 0 || step->needs_rack == failed->needs_rack) &&
-           needs_no_less(&step->need, &failed->need) &&
+           needs_at_least(&step->need, &failed->need) &&
            step->service == failed->service &&
            strcmp(step->account, failed->account) == 0 &&
            (failed->label[0] == '\0' ||
             strcmp(step->label, failed->label) == 0);
 }
 
-/* Steps whose place depends on more than their shape. */
+/* True if where the step may be placed depends on more than its shape. */
 static bool
-is_special(const struct owner_step *step)
+has_own_limits(const struct owner_step *step)
 {
     return step->spec->most_per_worker > 0 ||
            step->occurrence->job->spec->dcs.dcs_len > 0;
@@ -124,8 +126,8 @@
     }
     shape = shape_of(owner, step, attempt, now);
     for (guint i = 0; i < memo->failed->len; i++) {
-        if (is_no_easier(&shape,
-                         &g_array_index(memo->failed, struct shape, i))) {
+        if (is_as_hard(&shape, &g_array_index(memo->failed, struct shape, i)))
+        {
             return true;
         }
     }
@@ -139,7 +141,7 @@
     struct owner_memo *memo = owner->memo;
     struct shape shape;
 
-    if (is_special(step)) {
+    if (has_own_limits(step)) {
         return;
     }
     if (memo->capacity_version != owner->capacity_version) {
--- a/src/owner/owner_state.c
+++ b/src/owner/owner_state.c
@@ -1,5 +1,5 @@
-/* The state of a job as the store keeps it: read by a new owner, written by
- * the present one. */
+/* Encodes the state of a job for the store, and restores a job from a state
+ * that an earlier owner stored. */
 #include "owner/internal/owner_crashes.h"
 #include "owner/internal/owner_placement.h"
 
@@ -8,7 +8,7 @@
 
 #include "curlewcart/cw_record.h"
 
-/* ---- from the store ---- */
+/* ---- decoding ---- */
 
 static void
 restore_task(struct cw_owner *owner, const struct cw_work_record *record,
@@ -119,36 +119,36 @@
     return true;
 }
 
-/* ---- to the store ---- */
+/* ---- encoding ---- */
 
-/* Workers as a record lists them: each life of one by itself. */
-struct listing {
-    GHashTable *index; /* "ID BORN" -> its place, from 1 */
-    GPtrArray *names;  /* borrowed */
-    GArray *lives;     /* int64_t */
+/* The workers that a record lists, with a row for each incarnation. */
+struct worker_list {
+    GHashTable *index;     /* "ID BOOT_MS" -> row, from 1 */
+    GPtrArray *names;      /* borrowed */
+    GArray *boot_times_ms; /* int64_t */
 };
 
-/* Place of the run's worker in the record, from 1. */
+/* Row of the run's worker in the list, from 1; added if it is new. */
 static unsigned
-listed_at(struct listing *listing, const struct owner_run *run)
+worker_row(struct worker_list *workers, const struct owner_run *run)
 {
     char *key = g_strdup_printf("%s %" PRId64, run->target->id, run->boot_ms);
-    gpointer found = g_hash_table_lookup(listing->index, key);
+    gpointer found = g_hash_table_lookup(workers->index, key);
 
     if (found != NULL) {
         g_free(key);
         return GPOINTER_TO_UINT(found);
     }
-    g_ptr_array_add(listing->names, run->target->id);
-    g_array_append_val(listing->lives, run->boot_ms);
-    g_hash_table_insert(listing->index, key,
-                        GUINT_TO_POINTER(listing->names->len));
-    return listing->names->len;
+    g_ptr_array_add(workers->names, run->target->id);
+    g_array_append_val(workers->boot_times_ms, run->boot_ms);
+    g_hash_table_insert(workers->index, key,
+                        GUINT_TO_POINTER(workers->names->len));
+    return workers->names->len;
 }
 
 static void
 encode_task(const struct owner_task *task, struct cw_task_record *out,
-            struct listing *listing)
+            struct worker_list *workers)
 {
     const struct owner_run *run = task->run;
 
@@ -157,13 +157,13 @@
     out->done = task->done;
     out->saved = task->saved != NULL ? task->saved : (char *)"";
     if (run != NULL && run->phase != RUN_RESERVED) {
-        out->worker = listed_at(listing, run);
+        out->worker = worker_row(workers, run);
     }
 }
 
 static void
 encode_step(const struct owner_step *step, struct cw_step_record *out,
-            struct listing *listing)
+            struct worker_list *workers)
 {
     out->done = step->done;
     out->failures = step->failures;
@@ -173,19 +173,20 @@
     out->tasks.tasks_len = step->count;
     out->tasks.tasks_val = g_new0(struct cw_task_record, step->count);
     for (unsigned i = 0; i < step->count; i++) {
-        encode_task(&step->tasks[i], &out->tasks.tasks_val[i], listing);
+        encode_task(&step->tasks[i], &out->tasks.tasks_val[i], workers);
     }
 }
 
 static void
 encode_occurrence(const struct owner_occurrence *occurrence,
-                  struct cw_occurrence_record *out, struct listing *listing)
+                  struct cw_occurrence_record *out,
+                  struct worker_list *workers)
 {
     out->number = occurrence->number;
     out->steps.steps_len = occurrence->count;
     out->steps.steps_val = g_new0(struct cw_step_record, occurrence->count);
     for (unsigned i = 0; i < occurrence->count; i++) {
-        encode_step(&occurrence->steps[i], &out->steps.steps_val[i], listing);
+        encode_step(&occurrence->steps[i], &out->steps.steps_val[i], workers);
     }
 }
 
@@ -241,7 +242,7 @@
     g_free(record->places.places_val);
 }
 
-/* Borrows the texts of the job. */
+/* Fills in where the job has run.  Borrows the texts of the job. */
 static void
 encode_places(const struct owner_job *job, struct cw_work_record *out)
 {
@@ -257,7 +258,7 @@
     }
 }
 
-/* What is said of a job without its tasks.  Borrows the texts of the job. */
+/* The job's state without its tasks.  Borrows the texts of the job. */
 static struct cw_work_record
 outcome_of(const struct owner_job *job)
 {
@@ -287,10 +288,10 @@
 }
 
 static bool
-any_known(const GArray *lives)
+any_boot_time_known(const GArray *boot_times_ms)
 {
-    for (guint i = 0; i < lives->len; i++) {
-        if (g_array_index(lives, int64_t, i) > 0) {
+    for (guint i = 0; i < boot_times_ms->len; i++) {
+        if (g_array_index(boot_times_ms, int64_t, i) > 0) {
             return true;
         }
     }
@@ -300,10 +301,10 @@
 GByteArray *
 owner_job_encode(const struct owner_job *job)
 {
-    struct listing listing = {
+    struct worker_list workers = {
         .index = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
         .names = g_ptr_array_new(),
-        .lives = g_array_new(FALSE, FALSE, sizeof(int64_t)),
+        .boot_times_ms = g_array_new(FALSE, FALSE, sizeof(int64_t)),
     };
     struct cw_work_record record = outcome_of(job);
     GByteArray *bytes;
@@ -313,20 +314,20 @@
     record.open.open_val = g_new0(struct cw_occurrence_record, job->open->len);
     for (guint i = 0; i < job->open->len; i++) {
         encode_occurrence(job->open->pdata[i], &record.open.open_val[i],
-                          &listing);
+                          &workers);
     }
     encode_crashes(job, &record);
-    record.workers.workers_len = listing.names->len;
-    record.workers.workers_val = (cw_name *)listing.names->pdata;
-    if (any_known(listing.lives)) {
-        record.lives.lives_len = listing.lives->len;
-        record.lives.lives_val = (quad_t *)listing.lives->data;
+    record.workers.workers_len = workers.names->len;
+    record.workers.workers_val = (cw_name *)workers.names->pdata;
+    if (any_boot_time_known(workers.boot_times_ms)) {
+        record.lives.lives_len = workers.boot_times_ms->len;
+        record.lives.lives_val = (quad_t *)workers.boot_times_ms->data;
     }
     bytes = cw_record_encode(&record);
     g_assert(bytes != NULL);
     record_clear(&record);
-    g_ptr_array_unref(listing.names);
-    g_array_unref(listing.lives);
-    g_hash_table_unref(listing.index);
+    g_ptr_array_unref(workers.names);
+    g_array_unref(workers.boot_times_ms);
+    g_hash_table_unref(workers.index);
     return bytes;
 }
--- a/src/owner/owner_state_reader.c
+++ b/src/owner/owner_state_reader.c
@@ -1,4 +1,4 @@
-/* The states of jobs in the store, while a VM takes a shard over. */
+/* Reads the stored states of jobs while a VM takes a shard over. */
 #include "owner/internal/owner_state_reader.h"
 
 #include <string.h>
@@ -7,8 +7,8 @@
 #include "curlewcart/cw_owner.h"
 #include "curlewcart/cw_work.h"
 
-/* The present owner writes until it is shut out. */
-enum { READ_PACE_MS = 20 };
+/* The present owner writes on until it is fenced, so reading is repeated. */
+enum { READ_INTERVAL_MS = 20 };
 
 struct owner_state_reader {
     struct cw_follower *follower;
@@ -18,15 +18,15 @@
 static void
 on_reset(void *context)
 {
-    struct owner_state_reader *stored = context;
+    struct owner_state_reader *reader = context;
 
-    g_hash_table_remove_all(stored->states);
+    g_hash_table_remove_all(reader->states);
 }
 
 static void
 on_record(void *context, const struct cw_store_record *record)
 {
-    struct owner_state_reader *stored = context;
+    struct owner_state_reader *reader = context;
     const char *id = record->key + 1;
 
     if (record->key[0] != CW_WORK_KEY_RECORD) {
@@ -36,10 +36,10 @@
         return;
     }
     if (record->value == NULL || record->length == 0) {
-        g_hash_table_remove(stored->states, id);
+        g_hash_table_remove(reader->states, id);
         return;
     }
-    g_hash_table_replace(stored->states, g_strdup(id),
+    g_hash_table_replace(reader->states, g_strdup(id),
                          g_bytes_new(record->value, record->length));
 }
 
@@ -47,56 +47,56 @@
 owner_state_reader_create(struct cw_store *store, struct cw_clock *clock,
                           unsigned partition)
 {
-    struct owner_state_reader *stored = g_new0(struct owner_state_reader, 1);
+    struct owner_state_reader *reader = g_new0(struct owner_state_reader, 1);
     struct cw_follower_options options = {
         .name = "states",
         .store = store,
         .clock = clock,
         .topic = CW_STATE_TOPIC,
         .partition = partition,
-        .read_interval_ms = READ_PACE_MS,
-        .handler = {.reset = on_reset, .record = on_record, .context = stored},
+        .read_interval_ms = READ_INTERVAL_MS,
+        .handler = {.reset = on_reset, .record = on_record, .context = reader},
     };
 
-    stored->states = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+    reader->states = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                                            (GDestroyNotify)g_bytes_unref);
-    stored->follower = cw_follower_create(&options);
-    return stored;
+    reader->follower = cw_follower_create(&options);
+    return reader;
 }
 
 void
-owner_state_reader_free(struct owner_state_reader *stored)
+owner_state_reader_free(struct owner_state_reader *reader)
 {
-    if (stored != NULL) {
-        cw_follower_free(stored->follower);
-        g_hash_table_unref(stored->states);
-        g_free(stored);
+    if (reader != NULL) {
+        cw_follower_free(reader->follower);
+        g_hash_table_unref(reader->states);
+        g_free(reader);
     }
 }
 
 struct cw_follower *
-owner_state_reader_follower(struct owner_state_reader *stored)
+owner_state_reader_follower(struct owner_state_reader *reader)
 {
-    return stored->follower;
+    return reader->follower;
 }
 
 GBytes *
-owner_state_reader_find(const struct owner_state_reader *stored,
+owner_state_reader_find(const struct owner_state_reader *reader,
                         const char *job)
 {
-    return stored != NULL ? g_hash_table_lookup(stored->states, job) : NULL;
+    return reader != NULL ? g_hash_table_lookup(reader->states, job) : NULL;
 }
 
 void
-owner_state_reader_each(const struct owner_state_reader *stored,
-                        void (*see)(void *context, const char *job),
+owner_state_reader_each(const struct owner_state_reader *reader,
+                        void (*visit)(void *context, const char *job),
                         void *context)
 {
     GHashTableIter iterator;
     gpointer id;
 
-    g_hash_table_iter_init(&iterator, stored->states);
+    g_hash_table_iter_init(&iterator, reader->states);
     while (g_hash_table_iter_next(&iterator, &id, NULL)) {
-        see(context, id);
+        visit(context, id);
     }
 }
--- a/src/owner/owner_view.c
+++ b/src/owner/owner_view.c
@@ -1,4 +1,4 @@
-/* What the owner tells operators of workers and jobs. */
+/* The owner's view of workers and jobs, for operators. */
 #include "owner/internal/owner_crashes.h"
 #include "owner/internal/owner_placement.h"
 
@@ -22,7 +22,8 @@
 
 void
 cw_owner_each_target(const struct cw_owner *owner,
-                     void (*see)(void *, const struct cw_owner_target_view *),
+                     void (*visit)(void *,
+                                   const struct cw_owner_target_view *),
                      void *context)
 {
     struct timespec now = owner_now(owner);
@@ -41,13 +42,14 @@
                 target->capacity.accelerators - target->used.accelerators,
         };
 
-        see(context, &view);
+        visit(context, &view);
     }
 }
 
 /* ---- explain ---- */
 
-/* Jobs of the same or higher urgency that wait as well. */
+/* Counts other waiting jobs of higher priority, and those of the same priority
+ * with an earlier objective. */
 static unsigned
 waiting_ahead(const struct cw_owner *owner, const struct owner_job *job)
 {
@@ -82,9 +84,9 @@
     if (owner_step_waiting_tasks(step) > 0 &&
         !owner_at_most_once_may_start(owner, step))
     {
-        g_string_append(out, "  it must not be begun twice, so it cannot "
-                             "give way: it waits until that leaves every "
-                             "guarantee reclaimable\n");
+        g_string_append(out, "  it must not be started twice, so it cannot "
+                             "be preempted: it waits until starting it "
+                             "leaves every guarantee reclaimable\n");
     }
     if (step->suspects > 0) {
         g_string_append_printf(
@@ -93,7 +95,8 @@
             "started apart%s\n",
             step->suspects,
             owner_step_is_delayed(step, now)
-                ? ", and wait for word of the last worker"
+                ? ", and delayed until it is known whether their last "
+                  "worker has crashed"
                 : "");
     }
 }
@@ -115,8 +118,8 @@
     }
     if (cordoned > 0) {
         g_string_append_printf(out,
-                               "%u of %u workers stand in data centres that "
-                               "take no new work\n",
+                               "%u of %u workers are in data centres that "
+                               "accept no new work\n",
                                cordoned, listed);
     }
 }
@@ -136,7 +139,7 @@
     g_string_append_printf(
         out,
         "%s for %.1f s, priority %u, account %s (%s its guarantee)\n"
-        "%u jobs that are as urgent wait before it\n",
+        "%u jobs of at least its priority wait before it\n",
         job->started ? "running" : "waiting",
         (double)cw_time_diff_ms(job->known_at, now) / CW_MS_PER_S,
         job->spec->priority, job->spec->account,
--- a/tests/owner_fixture.h
+++ b/tests/owner_fixture.h
@@ -1,7 +1,7 @@
-/* A VM with a store in the same process and workers that do not answer, for
- * tests of taking a shard over. */
-#ifndef CURLEWCART_TESTS_OWNER_BED_H
-#define CURLEWCART_TESTS_OWNER_BED_H
+/* A VM with an in-process store and a worker that answers only when a test
+ * says so, for tests of takeovers. */
+#ifndef CURLEWCART_TESTS_OWNER_FIXTURE_H
+#define CURLEWCART_TESTS_OWNER_FIXTURE_H
 
 #include "curlewcart/cw_record.h"
 #include "owner_site.h"
@@ -16,10 +16,11 @@
     RUN = 3,
     STEP_MS = 10,
     EPOCH = 1,
-    WORKER_CLOCK_MS = 50000, /* a worker's clock, as it answers */
+    WORKER_CLOCK_MS = 50000, /* the worker's clock in its answers */
     LEASE_MS = 6000,
-    /* What an earlier owner has ordered is over so long after a take-over:
-     * 6 s in which it may extend leases, a lease with its drift, 0.5 s. */
+    /* The bound on leases of an earlier owner, from the takeover on: 6 s in
+     * which it may extend them, a lease with clock drift, and 0.5 s in which
+     * an order may arrive. */
     FIRST_BOUND_MS = 6000 + LEASE_MS + 120 + 500
 };
 
@@ -29,11 +30,11 @@
     struct cw_counters counters;
     struct cw_replica *replica;
     struct cw_owner *owner;
-    unsigned state_reads;      /* reads and loads of the topic of states */
-    bool log_grows;            /* each read finds another record at the end */
-    unsigned generation;       /* of the group: each VM's life has its own */
+    unsigned state_reads; /* reads and loads of the topic of states */
+    bool log_grows; /* two records are appended before each read of jobs */
+    unsigned generation;       /* of the group: one for each process of a VM */
     bool job_reads_unanswered; /* reads of the log of jobs are not answered */
-    const char *vm;
+    const char *vm;            /* name of the VM */
 };
 
 static struct fixture *current;
@@ -42,7 +43,7 @@
                        const char *key, GByteArray *value);
 
 static inline void
-grow(struct fixture *fixture, const char *topic)
+append_cancellation(struct fixture *fixture, const char *topic)
 {
     GByteArray *value = g_byte_array_new();
 
@@ -59,8 +60,8 @@
 {
     current->state_reads += strcmp(call->topic, CW_STATE_TOPIC) == 0;
     if (current->log_grows && strcmp(call->topic, CW_JOBS_TOPIC) == 0) {
-        grow(current, call->topic);
-        grow(current, call->topic);
+        append_cancellation(current, call->topic);
+        append_cancellation(current, call->topic);
     }
     if (current->job_reads_unanswered &&
         strcmp(call->topic, CW_JOBS_TOPIC) == 0) {
@@ -91,7 +92,7 @@
     call->done(call->context, &result);
 }
 
-/* A VM starts, and knows nothing but what it reads. */
+/* Starts a VM that knows nothing but what it reads. */
 static inline void
 vm_begin(struct fixture *fixture)
 {
@@ -177,7 +178,7 @@
     g_byte_array_unref(bytes);
 }
 
-/* A state in which each task has a run on the worker "w". */
+/* Stores a state in which each task has a run on the worker "w". */
 static inline void
 put_state(struct fixture *fixture, const char *topic, unsigned phase)
 {
@@ -251,7 +252,7 @@
     return g_hash_table_lookup(fixture->owner->targets, "w");
 }
 
-/* It is reported again, and can be asked. */
+/* Lists the worker with an address, so that it can be polled. */
 static inline void
 make_worker_reachable(struct fixture *fixture)
 {
@@ -283,8 +284,8 @@
     return count;
 }
 
-/* Answers all looks under way: each task runs.  Returns the latest end of a
- * lease that they gave. */
+/* Answers all polls in flight with a list in which each task runs.  Returns
+ * the latest end of a lease that the polls gave. */
 static inline int64_t
 answer_all_polls(void)
 {
@@ -313,7 +314,8 @@
     return lease_ms;
 }
 
-/* Goes on, with a worker that answers; returns the latest end of a lease. */
+/* Lets time pass with a worker that answers; returns the latest end of a
+ * lease that it was given. */
 static inline int64_t
 run_answering_polls(struct fixture *fixture, unsigned ms)
 {
@@ -335,7 +337,7 @@
     return cw_time_diff_ms(fixture->clock.now, the_worker(fixture)->lease_end);
 }
 
-/* The VM ends; another life of it, or another VM, takes over. */
+/* Ends the VM; a new process of it, or another VM, takes over. */
 static inline void
 replace_owner(struct fixture *fixture, const char *vm)
 {
--- a/tests/owner_site.h
+++ b/tests/owner_site.h
@@ -1,5 +1,5 @@
-/* An owner with workers in three racks and no network, for tests of what it
- * decides. */
+/* An owner with workers in three racks and without a network, for tests of its
+ * decisions. */
 #ifndef CURLEWCART_TESTS_OWNER_SITE_H
 #define CURLEWCART_TESTS_OWNER_SITE_H
 
@@ -10,17 +10,17 @@
 
 enum { RACKS = 3, PER_RACK = 4, ACCELERATORS = 8, START_MS = 100000 };
 
-/* An owner with workers w0 to w11 in racks r0 to r2, and no network. */
+/* An owner with workers w00 to w11 in racks r0 to r2, and no network. */
 struct site {
     struct cw_clock_manual clock;
     struct cw_counters counters;
     struct cw_replica *replica;
     struct cw_owner *owner;
     unsigned jobs;
-    unsigned added_workers; /* workers added beside the first */
+    unsigned added_workers; /* workers added to the first twelve */
 };
 
-/* The last order, for a test to answer, and all without an answer. */
+/* The last order, for a test to answer, and all orders without an answer. */
 static struct cw_target_order last_order G_GNUC_UNUSED;
 static GArray *unanswered; /* struct cw_target_order */
 
@@ -44,7 +44,7 @@
     last_order.done(last_order.context, &answer);
 }
 
-/* Answers what is still under way when a test ends. */
+/* Answers the orders that are still in flight when a test ends. */
 static inline void
 answer_remaining(void)
 {
@@ -159,6 +159,7 @@
     cw_replica_free(site->replica);
 }
 
+/* Lets time pass and runs a placement pass, with ownership confirmed. */
 static inline void
 pass(struct site *site, unsigned ms)
 {
@@ -168,14 +169,14 @@
     owner_placement_pass(site->owner, site->clock.now);
 }
 
-/* Hands a job of one step in; the step given is copied. */
+/* Submits a job of one step for an account; the step is copied. */
 static inline struct owner_job *
 add_job_for_account(struct site *site, const char *account, unsigned priority,
-                    const struct cw_step_spec *like)
+                    const struct cw_step_spec *step_spec)
 {
     char id[32];
     char key[40];
-    struct cw_step_spec step = *like;
+    struct cw_step_spec step = *step_spec;
     struct cw_work_spec spec = {.queue = (char *)"q",
                                 .account = (char *)account,
                                 .service = (char *)"s",
@@ -202,15 +203,16 @@
     record.value = bytes->data;
     record.length = bytes->len;
     record.offset = site->jobs;
-    cw_replica_apply(site->replica, &record); /* the owner listens */
+    cw_replica_apply(site->replica, &record); /* which notifies the owner */
     g_byte_array_unref(bytes);
     return g_hash_table_lookup(site->owner->jobs, id);
 }
 
 static inline struct owner_job *
-add_job(struct site *site, unsigned priority, const struct cw_step_spec *like)
+add_job(struct site *site, unsigned priority,
+        const struct cw_step_spec *step_spec)
 {
-    return add_job_for_account(site, "a", priority, like);
+    return add_job_for_account(site, "a", priority, step_spec);
 }
 
 static inline struct owner_step *
@@ -247,7 +249,7 @@
     }
 }
 
-/* As if the starts of the job's placed runs had been confirmed just now. */
+/* Makes the job's new runs run, as if their starts had been confirmed. */
 static inline void
 confirm_starts(struct site *site, struct owner_job *job)
 {
@@ -262,10 +264,12 @@
     }
 }
 
+/* Adds a job, places its tasks and makes them run. */
 static inline struct owner_job *
-run_job(struct site *site, unsigned priority, const struct cw_step_spec *like)
+run_job(struct site *site, unsigned priority,
+        const struct cw_step_spec *step_spec)
 {
-    struct owner_job *job = add_job(site, priority, like);
+    struct owner_job *job = add_job(site, priority, step_spec);
 
     pass(site, 10);
     set_running(site, job);
--- a/tests/test_capacity.c
+++ b/tests/test_capacity.c
@@ -1,15 +1,15 @@
-/* Rooms that shrink and grow while work runs, and workers that start whatever
- * they are told to.
+/* Workers whose capacity shrinks or grows while work runs, and workers that do
+ * not enforce their capacity but start whatever they are ordered to.
  *
- * What is on a worker must fit what it says of itself.  Three ways past that
- * were found, the first by days of the emulator on which workers do not guard
- * their room and shrink (8 of 600 days, seeds 900016 and 900017 among them),
- * the others by reading:
- * - After the store was away for five seconds work was placed by what workers
- *   had said before, in the moments until they were read again.
- * - A run that nobody wants any more is stopped, but until it has ended it
- *   takes room that was taken for free.
- * - A start that was decided before its worker shrank was sent after. */
+ * The runs on a worker must fit the capacity that it reports.  Guards against
+ * three ways in which they did not, the first seen in emulated days on which
+ * workers do not enforce their capacity and shrink (8 of 600 days, among them
+ * seeds 900016 and 900017):
+ * - After the store was unavailable for five seconds, work was placed by old
+ *   reports until the workers' reports were read again.
+ * - The capacity of a run that is no longer wanted was counted as free while
+ *   the run was being stopped.
+ * - A start that was decided before its worker shrank was sent afterwards. */
 #include "test_main.h"
 
 #include "owner_site.h"
@@ -17,9 +17,9 @@
 static const struct cw_step_spec half = {.tasks = 1, .accelerators = 4};
 static const struct cw_step_spec whole = {.tasks = 1, .accelerators = 8};
 
-/* Only the worker given is left to place work on. */
+/* Leaves only the worker w00 to place work on. */
 static struct owner_target *
-leave_one(struct site *site)
+list_only_one(struct site *site)
 {
     struct owner_target *kept = owner_target_get(site->owner, "w00");
     GHashTableIter iterator;
@@ -33,14 +33,14 @@
 }
 
 static void
-configure(struct site *site, bool guards)
+configure(struct site *site, bool is_enforced)
 {
     struct cw_routing *routing = cw_routing_new();
     struct cw_service *service = cw_routing_add_service(routing);
     struct cw_account *account = cw_routing_add_account(routing);
 
     service->name = g_strdup("s");
-    service->enforces_capacity = guards;
+    service->enforces_capacity = is_enforced;
     account->name = g_strdup("a");
     account->guaranteed_accelerators = 64;
     cw_routing_finish(routing);
@@ -49,15 +49,16 @@
 }
 
 static unsigned
-placed_after(struct site *site, bool guards, unsigned report_age_ms)
+placed_by_report_of_age(struct site *site, bool is_enforced,
+                        unsigned report_age_ms)
 {
     struct owner_target *target;
     struct owner_job *job;
     unsigned runs;
 
     site_begin(site);
-    configure(site, guards);
-    target = leave_one(site);
+    configure(site, is_enforced);
+    target = list_only_one(site);
     target->reported_at =
         cw_time_add_ms(site->clock.now, -(int64_t)report_age_ms);
     job = add_job(site, 0, &half);
@@ -68,27 +69,28 @@
 }
 
 static void
-test_an_old_report_of_an_unguarded_worker_is_not_built_on(void)
+test_an_old_report_is_not_used_if_capacity_is_not_enforced(void)
 {
     struct site site;
 
-    CU_ASSERT_EQUAL(placed_after(&site, false, 2500), 1);
-    CU_ASSERT_EQUAL(placed_after(&site, false, 5000), 0);
+    CU_ASSERT_EQUAL(placed_by_report_of_age(&site, false, 2500), 1);
+    CU_ASSERT_EQUAL(placed_by_report_of_age(&site, false, 5000), 0);
 }
 
-/* It would refuse what does not fit: that costs less than to wait. */
+/* A worker that enforces its capacity refuses what does not fit, which costs
+ * less than waiting for its next report. */
 static void
-test_one_that_guards_its_room_is_used_all_the_same(void)
+test_an_old_report_is_used_if_capacity_is_enforced(void)
 {
     struct site site;
 
-    CU_ASSERT_EQUAL(placed_after(&site, true, 5000), 1);
+    CU_ASSERT_EQUAL(placed_by_report_of_age(&site, true, 5000), 1);
 }
 
-/* The worker lists one run, of a task that has none. */
+/* Lets the worker list a run of a task that has none. */
 static void
-list_stray(struct site *site, struct owner_target *target,
-           const struct owner_job *job)
+list_unwanted_run(struct site *site, struct owner_target *target,
+                  const struct owner_job *job)
 {
     struct cw_running running = {.task =
                                      owner_task_name(&step_of(job)->tasks[0]),
@@ -107,29 +109,29 @@
 }
 
 static void
-test_a_run_that_is_to_go_still_takes_room(void)
+test_a_run_that_is_stopping_still_takes_capacity(void)
 {
     struct site site;
     struct owner_target *target;
-    struct owner_job *stray;
+    struct owner_job *unwanted;
     struct owner_job *job;
 
     site_begin(&site);
-    target = leave_one(&site);
-    stray = add_job(&site, 0, &half);
-    list_stray(&site, target, stray);
-    owner_job_end(site.owner, stray, CW_WORK_CANCELLED, CW_END_CANCELLED);
+    target = list_only_one(&site);
+    unwanted = add_job(&site, 0, &half);
+    list_unwanted_run(&site, target, unwanted);
+    owner_job_end(site.owner, unwanted, CW_WORK_CANCELLED, CW_END_CANCELLED);
     job = add_job(&site, 0, &whole);
     pass(&site, 10);
     CU_ASSERT_EQUAL(placed(job), 0);
     site_end(&site);
 }
 
-/* Sends what waits for the worker; true if the job's start was withheld, and
- * its task waits again. */
+/* Sends the worker's orders; true if the job's start was withheld and its task
+ * waits again. */
 static bool
-withholds(struct site *site, struct owner_target *target,
-          const struct owner_job *job)
+withholds_start(struct site *site, struct owner_target *target,
+                const struct owner_job *job)
 {
     struct owner_run *run = step_of(job)->tasks[0].run;
     struct cw_task_name name = owner_task_name(run->task);
@@ -149,15 +151,16 @@
     struct owner_job *job;
 
     site_begin(&site);
-    target = leave_one(&site);
+    target = list_only_one(&site);
     job = add_job(&site, 0, &whole);
     pass(&site, 10);
     target->capacity.accelerators = 4;
-    CU_ASSERT_TRUE(withholds(&site, target, job));
+    CU_ASSERT_TRUE(withholds_start(&site, target, job));
     site_end(&site);
 }
 
-/* Seed 900032: placed as the store went away, sent as it came back. */
+/* Seed 900032: placed when the store became unavailable, sent when it
+ * returned. */
 static void
 test_a_start_decided_before_an_outage_is_not_sent(void)
 {
@@ -167,18 +170,18 @@
 
     site_begin(&site);
     configure(&site, false);
-    target = leave_one(&site);
+    target = list_only_one(&site);
     target->reported_at = site.clock.now;
     job = add_job(&site, 0, &whole);
     pass(&site, 10);
     CU_ASSERT_EQUAL(placed(job), 1);
     site.clock.now = cw_time_add_ms(site.clock.now, 5000);
-    CU_ASSERT_TRUE(withholds(&site, target, job));
+    CU_ASSERT_TRUE(withholds_start(&site, target, job));
     site_end(&site);
 }
 
 static void
-test_a_room_that_grows_is_used_at_once(void)
+test_added_capacity_is_used_at_once(void)
 {
     struct site site;
     struct owner_target *target;
@@ -194,7 +197,7 @@
     struct owner_job *job;
 
     site_begin(&site);
-    target = leave_one(&site);
+    target = list_only_one(&site);
     owner_target_apply_report(site.owner, &report);
     CU_ASSERT_EQUAL(target->capacity.accelerators, 4);
     job = add_job(&site, 1, &whole);
@@ -209,10 +212,10 @@
     site_end(&site);
 }
 
-/* Sent without an answer while the worker was down; when it is heard again its
- * room is smaller. */
+/* The start was sent without an answer while the worker was down; when the
+ * worker answers again, its capacity is smaller. */
 static void
-test_a_start_is_not_sent_again_to_one_that_has_shrunk(void)
+test_a_start_is_not_repeated_to_a_worker_that_has_shrunk(void)
 {
     struct site site;
     struct owner_target *target;
@@ -221,7 +224,7 @@
     struct cw_task_name name;
 
     site_begin(&site);
-    target = leave_one(&site);
+    target = list_only_one(&site);
     job = add_job(&site, 0, &whole);
     pass(&site, 10);
     run = step_of(job)->tasks[0].run;
@@ -238,13 +241,13 @@
 }
 
 static const struct test tests[] = {
-    {"grows", test_a_room_that_grows_is_used_at_once},
-    {"old report", test_an_old_report_of_an_unguarded_worker_is_not_built_on},
-    {"guards", test_one_that_guards_its_room_is_used_all_the_same},
-    {"to go", test_a_run_that_is_to_go_still_takes_room},
+    {"grows", test_added_capacity_is_used_at_once},
+    {"old report", test_an_old_report_is_not_used_if_capacity_is_not_enforced},
+    {"capacity enforced", test_an_old_report_is_used_if_capacity_is_enforced},
+    {"stopping", test_a_run_that_is_stopping_still_takes_capacity},
     {"before it shrank",
      test_a_start_decided_before_the_worker_shrank_is_not_sent},
-    {"sent again", test_a_start_is_not_sent_again_to_one_that_has_shrunk},
+    {"sent again", test_a_start_is_not_repeated_to_a_worker_that_has_shrunk},
     {"before an outage", test_a_start_decided_before_an_outage_is_not_sent},
 };
 
--- a/tests/test_epochs.c
+++ b/tests/test_epochs.c
@@ -1,27 +1,29 @@
-/* What VMs tell each other of the epochs under which they gave leases, and how
- * long a new owner waits for workers that do not answer it. */
+/* Records of the epochs under which VMs gave leases, and how long a new owner
+ * waits for workers that do not answer it. */
 #include "test_main.h"
 
 #include "emulator/worker_model.h"
 #include "owner_fixture.h"
 
 enum {
-    /* What owners give at most, with drift and what an order may be late. */
+    /* The longest lease that owners give, and with clock drift and the delay
+     * of an order. */
     GIVEN_MS = 5500,
-    LEASE_MOST_MS = GIVEN_MS + GIVEN_MS / 50 + 500,
-    /* ... where workers may start again under their ids. */
-    WHOLE_MOST_MS = LEASE_MS + LEASE_MS / 50 + 500,
-    /* ... and 6 s in which a VM that nobody hears of may still give it. */
-    OPEN_BOUND_MS = 6000 + LEASE_MOST_MS,
-    /* Two owners' epochs, and one that is later than this VM's. */
-    EARLY = 5,
-    LATE = 7,
-    HIGH = 100000,
-    LATER = 2, /* generation: its epochs are higher than EARLY and LATE */
+    GIVEN_MAX_MS = GIVEN_MS + GIVEN_MS / 50 + 500,
+    /* The same where workers may restart under their ids. */
+    WHOLE_LEASE_MAX_MS = LEASE_MS + LEASE_MS / 50 + 500,
+    /* The bound for a VM whose epoch has no end: 6 s in which it may still
+     * give a lease, and that lease. */
+    OPEN_BOUND_MS = 6000 + GIVEN_MAX_MS,
+    /* Epochs of two earlier owners, and one that is later than this VM's. */
+    EARLY_EPOCH = 5,
+    LATE_EPOCH = 7,
+    HIGH_EPOCH = 100000,
+    LATER_GENERATION = 2, /* epochs above EARLY_EPOCH and LATE_EPOCH */
     LEFT_MS = 3000,
     ROW_MS = 1000,
-    READ_MS = 300,  /* from a record's writing until all have read it */
-    SLOPPY_MS = 300 /* drift, reads and steps of the clock */
+    READ_MS = 300,     /* from a record's writing until all have read it */
+    TOLERANCE_MS = 300 /* clock drift, reads and steps of the clock */
 };
 
 /* ---- records ---- */
@@ -38,7 +40,7 @@
     g_byte_array_unref(bytes);
 }
 
-/* With a row for a worker; NULL: none. */
+/* An end of an epoch, with a row for a worker; NULL: none. */
 static GByteArray *
 encode_end(uint64_t epoch, unsigned left_ms, const char *worker)
 {
@@ -61,7 +63,7 @@
 }
 
 static void
-put_nothing(struct fixture *fixture, const char *key)
+put_drop(struct fixture *fixture, const char *key)
 {
     GByteArray *nothing = g_byte_array_new();
 
@@ -75,7 +77,7 @@
     return g_hash_table_lookup(cw_replica_epochs(fixture->replica), vm);
 }
 
-/* ---- the replica's fold ---- */
+/* ---- records folded by the replica ---- */
 
 struct fold {
     struct cw_clock_manual clock;
@@ -131,18 +133,18 @@
     return g_hash_table_lookup(cw_replica_epochs(fold->replica), "a");
 }
 
-/* Guards against a bound that counts anew each time a record is given. */
+/* Guards against a bound that starts anew each time a record is read. */
 static void
-test_records_given_again_change_nothing(void)
+test_records_read_again_change_nothing(void)
 {
     struct fold fold;
 
     fold_begin(&fold);
-    fold_epoch(&fold, 1, EARLY);
-    fold_end(&fold, 2, EARLY, LEFT_MS);
+    fold_epoch(&fold, 1, EARLY_EPOCH);
+    fold_end(&fold, 2, EARLY_EPOCH, LEFT_MS);
     fold.clock.now = cw_time_add_ms(fold.clock.now, 500);
-    fold_epoch(&fold, 1, EARLY);
-    fold_end(&fold, 2, EARLY, LEFT_MS);
+    fold_epoch(&fold, 1, EARLY_EPOCH);
+    fold_end(&fold, 2, EARLY_EPOCH, LEFT_MS);
     CU_ASSERT_EQUAL(
         cw_time_diff_ms(folded(&fold)->end_read_at, fold.clock.now), 500);
     CU_ASSERT_EQUAL(cw_replica_epoch_lease_left_ms(folded(&fold), "w"),
@@ -154,64 +156,66 @@
     cw_replica_free(fold.replica);
 }
 
-/* Guards against forgetting a later epoch for an earlier one. */
+/* Guards against a later epoch that is replaced by an earlier one. */
 static void
 test_older_records_change_nothing(void)
 {
     struct fold fold;
 
     fold_begin(&fold);
-    fold_epoch(&fold, 5, LATE);
-    fold_epoch(&fold, 4, EARLY);
-    CU_ASSERT_EQUAL(folded(&fold)->epoch, LATE);
-    CU_ASSERT_EQUAL(folded(&fold)->settled_below, LATE);
-    fold_end(&fold, 7, LATE, LEFT_MS);
-    fold_end(&fold, 6, EARLY, 1);
-    CU_ASSERT_EQUAL(folded(&fold)->end_epoch, LATE);
+    fold_epoch(&fold, 5, LATE_EPOCH);
+    fold_epoch(&fold, 4, EARLY_EPOCH);
+    CU_ASSERT_EQUAL(folded(&fold)->epoch, LATE_EPOCH);
+    CU_ASSERT_EQUAL(folded(&fold)->settled_below, LATE_EPOCH);
+    fold_end(&fold, 7, LATE_EPOCH, LEFT_MS);
+    fold_end(&fold, 6, EARLY_EPOCH, 1);
+    CU_ASSERT_EQUAL(folded(&fold)->end_epoch, LATE_EPOCH);
     CU_ASSERT_EQUAL(folded(&fold)->left_ms, LEFT_MS);
     cw_replica_free(fold.replica);
 }
 
-/* Guards against taking a VM that decides again for one that has ended. */
+/* Guards against an end of an earlier epoch that hides that the VM is the
+ * owner again. */
 static void
 test_a_late_end_does_not_end_a_newer_epoch(void)
 {
     struct fold fold;
 
     fold_begin(&fold);
-    fold_epoch(&fold, 1, EARLY);
-    fold_epoch(&fold, 2, LATE);
-    fold_end(&fold, 3, EARLY, 0);
+    fold_epoch(&fold, 1, EARLY_EPOCH);
+    fold_epoch(&fold, 2, LATE_EPOCH);
+    fold_end(&fold, 3, EARLY_EPOCH, 0);
     CU_ASSERT_FALSE(cw_replica_epoch_has_ended(folded(&fold)));
-    fold_end(&fold, 4, LATE, LEFT_MS);
+    fold_end(&fold, 4, LATE_EPOCH, LEFT_MS);
     CU_ASSERT_TRUE(cw_replica_epoch_has_ended(folded(&fold)));
-    fold_epoch(&fold, 5, HIGH);
+    fold_epoch(&fold, 5, HIGH_EPOCH);
     CU_ASSERT_FALSE(cw_replica_epoch_has_ended(folded(&fold)));
     cw_replica_free(fold.replica);
 }
 
-/* Guards against a drop that takes a later epoch with it, and against one that
- * brings an epoch of 0 into being. */
+/* Guards against a drop that removes a later epoch, and against one that
+ * creates an epoch 0. */
 static void
-test_a_drop_ends_what_was_before_it(void)
+test_a_drop_removes_what_was_before_it(void)
 {
     struct fold fold;
 
     fold_begin(&fold);
-    fold_epoch(&fold, 2, LATE);
+    fold_epoch(&fold, 2, LATE_EPOCH);
     fold_bytes(&fold, 1, "oa", NULL);
     CU_ASSERT_PTR_NOT_NULL(folded(&fold));
     fold_bytes(&fold, 3, "oa", NULL);
     fold_bytes(&fold, 4, "ea", NULL);
     CU_ASSERT_PTR_NULL(folded(&fold));
-    fold_end(&fold, 5, LATE, LEFT_MS);
+    fold_end(&fold, 5, LATE_EPOCH, LEFT_MS);
     CU_ASSERT_EQUAL(folded(&fold)->epoch, 0);
-    fold_epoch(&fold, 6, HIGH);
+    fold_epoch(&fold, 6, HIGH_EPOCH);
     CU_ASSERT_FALSE(cw_replica_epoch_has_ended(folded(&fold)));
     cw_replica_free(fold.replica);
 }
 
-/* Guards against half of a record that cannot be read. */
+/* Guards against a record that is applied in part although it cannot be
+ * decoded. */
 static void
 test_unreadable_records_change_nothing(void)
 {
@@ -219,26 +223,27 @@
     GByteArray *junk;
 
     fold_begin(&fold);
-    fold_epoch(&fold, 1, EARLY);
+    fold_epoch(&fold, 1, EARLY_EPOCH);
     for (unsigned i = 0; i < 2; i++) {
         junk = g_byte_array_new();
         g_byte_array_append(junk, (const guint8 *)"?", 1);
         fold_bytes(&fold, 2 + i, i == 0 ? "oa" : "ea", junk);
     }
-    CU_ASSERT_EQUAL(folded(&fold)->epoch, EARLY);
+    CU_ASSERT_EQUAL(folded(&fold)->epoch, EARLY_EPOCH);
     CU_ASSERT_FALSE(cw_replica_epoch_has_ended(folded(&fold)));
-    fold_end(&fold, 4, EARLY, LEFT_MS);
+    fold_end(&fold, 4, EARLY_EPOCH, LEFT_MS);
     CU_ASSERT_TRUE(cw_replica_epoch_has_ended(folded(&fold)));
     cw_replica_free(fold.replica);
 }
 
-/* ---- taking over ---- */
+/* ---- takeover ---- */
 
-/* What the store answers to appends that name an epoch. */
+/* What the store answers to appends of an epoch's record. */
 static enum cw_store_status answer_to_epochs;
 
 static void
-append_but_epochs(struct cw_store *store, const struct cw_store_append *call)
+append_except_epochs(struct cw_store *store,
+                     const struct cw_store_append *call)
 {
     const struct cw_store_append_result result = {.status = answer_to_epochs};
     bool names_epoch =
@@ -257,16 +262,16 @@
     static struct cw_store_ops ops;
 
     ops = *fixture->store.base.ops;
-    ops.append = append_but_epochs;
+    ops.append = append_except_epochs;
     fixture->store.base.ops = &ops;
     answer_to_epochs = status;
 }
 
 static void
-bed_with_state(struct fixture *fixture)
+fixture_with_state(struct fixture *fixture)
 {
     fixture_begin(fixture);
-    fixture->generation = LATER;
+    fixture->generation = LATER_GENERATION;
     put_spec(fixture);
     put_state(fixture, CW_STATE_TOPIC, CW_WORK_RUNNING);
 }
@@ -274,13 +279,14 @@
 static bool
 is_about(int64_t ms, int64_t expected_ms)
 {
-    return ms <= expected_ms + SLOPPY_MS && ms >= expected_ms - SLOPPY_MS;
+    return ms <= expected_ms + TOLERANCE_MS &&
+           ms >= expected_ms - TOLERANCE_MS;
 }
 
-/* Guards against leases of an owner that the next one cannot know of: the
- * append that names its epoch was refused, or had no answer. */
+/* Guards against leases that the next owner cannot know of, because the append
+ * of the epoch under which they were given was refused or had no answer. */
 static void
-test_nothing_is_decided_before_the_epoch_is_recorded(void)
+test_no_owner_is_active_before_its_epoch_is_stored(void)
 {
     static const enum cw_store_status statuses[] = {CW_STORE_REFUSED,
                                                     CW_STORE_UNKNOWN};
@@ -288,7 +294,7 @@
     for (unsigned i = 0; i < G_N_ELEMENTS(statuses); i++) {
         struct fixture fixture;
 
-        bed_with_state(&fixture);
+        fixture_with_state(&fixture);
         refuse_epochs(&fixture, statuses[i]);
         take_over(&fixture);
         run(&fixture, 2000);
@@ -303,20 +309,20 @@
     }
 }
 
-/* Guards against a former life that is told to be over again and again, or
- * never. */
+/* Guards against an end of a former process's epoch that is written again and
+ * again, or never. */
 static void
-test_a_former_life_is_told_once(void)
+test_the_end_of_a_former_process_is_written_once(void)
 {
     struct fixture fixture;
     uint64_t offset;
 
     fixture_begin(&fixture);
-    put_epoch(&fixture, "othis", EARLY, 0);
+    put_epoch(&fixture, "othis", EARLY_EPOCH, 0);
     fixture.owner->join_in_flight = true;
     run(&fixture, 1000);
-    CU_ASSERT_EQUAL_FATAL(epoch_of(&fixture, "this")->end_epoch, EARLY);
-    CU_ASSERT_TRUE(epoch_of(&fixture, "this")->left_ms <= LEASE_MOST_MS);
+    CU_ASSERT_EQUAL_FATAL(epoch_of(&fixture, "this")->end_epoch, EARLY_EPOCH);
+    CU_ASSERT_TRUE(epoch_of(&fixture, "this")->left_ms <= GIVEN_MAX_MS);
     offset = epoch_of(&fixture, "this")->end_offset;
     run(&fixture, 5000);
     CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->end_offset, offset);
@@ -325,13 +331,13 @@
 
 /* Guards against the same where the first append has no answer. */
 static void
-test_an_end_without_an_answer_is_told_again(void)
+test_an_end_without_an_answer_is_written_again(void)
 {
     struct fixture fixture;
     uint64_t offset;
 
     fixture_begin(&fixture);
-    put_epoch(&fixture, "othis", EARLY, 0);
+    put_epoch(&fixture, "othis", EARLY_EPOCH, 0);
     fixture.owner->join_in_flight = true;
     while (epoch_of(&fixture, "this") == NULL) {
         cw_follower_tick(cw_replica_follower(fixture.replica),
@@ -343,79 +349,82 @@
     CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->end_epoch, 0);
     fixture.store.answer_status = CW_STORE_OK;
     run(&fixture, 1500);
-    CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->end_epoch, EARLY);
-    /* Counted down meanwhile. */
-    CU_ASSERT_TRUE(epoch_of(&fixture, "this")->left_ms <=
-                   LEASE_MOST_MS - 1000);
+    CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->end_epoch, EARLY_EPOCH);
+    /* The time left was counted down meanwhile. */
+    CU_ASSERT_TRUE(epoch_of(&fixture, "this")->left_ms <= GIVEN_MAX_MS - 1000);
     offset = epoch_of(&fixture, "this")->end_offset;
     run(&fixture, 2000);
     CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->end_offset, offset);
     fixture_end(&fixture);
 }
 
-/* Guards against a deposed owner that tells the same time for all workers: the
- * lease of a silent one ends before. */
+/* Guards against a former owner that writes the same end of lease for all
+ * workers: the lease of an unresponsive one expires earlier. */
 static void
-test_a_silent_worker_has_a_row_of_its_own(void)
+test_an_unresponsive_worker_has_its_own_row(void)
 {
     struct fixture fixture;
-    const struct cw_replica_epoch *told;
+    const struct cw_replica_epoch *written_end;
     int64_t left_ms;
 
-    bed_with_state(&fixture);
+    fixture_with_state(&fixture);
     take_over(&fixture);
     make_worker_reachable(&fixture);
     (void)run_answering_polls(&fixture, 1000);
-    run(&fixture, 3000); /* no answers */
+    run(&fixture, 3000); /* without answers */
     the_worker(&fixture)->unanswered_polls = 2;
     left_ms = lease_left_ms(&fixture);
     CU_ASSERT_TRUE_FATAL(left_ms < LEASE_MS - 1000);
     owner_drop_ownership(fixture.owner, "test");
     fixture.owner->join_in_flight = true;
     run(&fixture, 1000);
-    told = epoch_of(&fixture, "this");
-    CU_ASSERT_TRUE_FATAL(cw_replica_epoch_has_ended(told));
+    written_end = epoch_of(&fixture, "this");
+    CU_ASSERT_TRUE_FATAL(cw_replica_epoch_has_ended(written_end));
     CU_ASSERT_TRUE(
-        is_about(cw_replica_epoch_lease_left_ms(told, "w"), left_ms));
-    CU_ASSERT_TRUE(cw_replica_epoch_lease_left_ms(told, "w") >= left_ms - 100);
-    CU_ASSERT_TRUE(
-        is_about(cw_replica_epoch_lease_left_ms(told, "v"), WHOLE_MOST_MS));
+        is_about(cw_replica_epoch_lease_left_ms(written_end, "w"), left_ms));
+    CU_ASSERT_TRUE(cw_replica_epoch_lease_left_ms(written_end, "w") >=
+                   left_ms - 100);
+    CU_ASSERT_TRUE(is_about(cw_replica_epoch_lease_left_ms(written_end, "v"),
+                            WHOLE_LEASE_MAX_MS));
     fixture_end(&fixture);
 }
 
 /* Guards against a worker that dies together with its owner and is waited for
- * as if it had got a lease at that moment: the last one was given before. */
+ * as if it had received a lease at that moment: it received its last one
+ * before. */
 static void
-test_a_worker_that_is_not_silent_yet_has_a_row_too(void)
+test_a_worker_that_is_not_unresponsive_yet_has_a_row(void)
 {
     struct fixture fixture;
-    const struct cw_replica_epoch *told;
+    const struct cw_replica_epoch *written_end;
     int64_t left_ms;
 
-    bed_with_state(&fixture);
+    fixture_with_state(&fixture);
     take_over(&fixture);
     make_worker_reachable(&fixture);
     (void)run_answering_polls(&fixture, 1000);
-    run(&fixture, 800); /* a look waits for its answer */
+    run(&fixture, 800); /* a poll is not answered */
     left_ms = lease_left_ms(&fixture);
     CU_ASSERT_EQUAL_FATAL(the_worker(&fixture)->unanswered_polls, 0);
     CU_ASSERT_TRUE_FATAL(left_ms < LEASE_MS - 200);
     owner_drop_ownership(fixture.owner, "test");
     fixture.owner->join_in_flight = true;
     run(&fixture, 1000);
-    told = epoch_of(&fixture, "this");
-    CU_ASSERT_TRUE_FATAL(cw_replica_epoch_has_ended(told));
-    CU_ASSERT_TRUE(cw_replica_epoch_lease_left_ms(told, "w") <= left_ms + 500);
-    CU_ASSERT_TRUE(cw_replica_epoch_lease_left_ms(told, "w") >= left_ms);
-    CU_ASSERT_TRUE(
-        is_about(cw_replica_epoch_lease_left_ms(told, "v"), WHOLE_MOST_MS));
+    written_end = epoch_of(&fixture, "this");
+    CU_ASSERT_TRUE_FATAL(cw_replica_epoch_has_ended(written_end));
+    CU_ASSERT_TRUE(cw_replica_epoch_lease_left_ms(written_end, "w") <=
+                   left_ms + 500);
+    CU_ASSERT_TRUE(cw_replica_epoch_lease_left_ms(written_end, "w") >=
+                   left_ms);
+    CU_ASSERT_TRUE(is_about(cw_replica_epoch_lease_left_ms(written_end, "v"),
+                            WHOLE_LEASE_MAX_MS));
     fixture_end(&fixture);
 }
 
-/* Guards against the same for a worker whose last run has ended, where the
- * next owner does not know it: the end was not stored. */
+/* Guards against the same for a worker whose last run has ended, while the
+ * next owner does not know that, because the end was not stored. */
 static void
-test_a_worker_without_runs_has_a_row_too(void)
+test_a_worker_without_runs_has_a_row(void)
 {
     const struct cw_target_answer idle = {
         .status = CW_TARGET_OK, .clock_ms = WORKER_CLOCK_MS, .boot_ms = 1};
@@ -443,15 +452,16 @@
     fixture_end(&fixture);
 }
 
-/* Guards against an end told too short by a VM that gains the shard and loses
- * it again before it decides: what it gave before that stands. */
+/* Guards against an end with too short a bound, written by a VM that gained
+ * the shard and lost it again before it was active: the leases that it gave
+ * under its epoch before that still hold. */
 static void
-test_an_epoch_without_decisions_ends_with_the_one_before(void)
+test_an_epoch_without_activity_ends_with_the_one_before(void)
 {
     struct fixture fixture;
     uint64_t epoch;
 
-    bed_with_state(&fixture);
+    fixture_with_state(&fixture);
     take_over(&fixture);
     epoch = fixture.owner->epoch;
     owner_drop_ownership(fixture.owner, "test");
@@ -465,38 +475,39 @@
     fixture.owner->join_in_flight = true;
     run(&fixture, 1000);
     CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->end_epoch, epoch);
-    CU_ASSERT_TRUE(epoch_of(&fixture, "this")->left_ms > LEASE_MOST_MS - 1000);
+    CU_ASSERT_TRUE(epoch_of(&fixture, "this")->left_ms > GIVEN_MAX_MS - 1000);
     fixture_end(&fixture);
 }
 
 /* Guards against two owners that both extend leases: the earlier one learns of
- * the later one from its epoch, before its next append. */
+ * the later one when it reads that one's epoch, before its next append. */
 static void
-test_an_owner_that_reads_a_later_epoch_is_deposed(void)
+test_an_owner_that_reads_a_later_epoch_drops_ownership(void)
 {
     struct fixture fixture;
 
-    bed_with_state(&fixture);
+    fixture_with_state(&fixture);
     take_over(&fixture);
-    put_epoch(&fixture, "oother", EARLY,
+    put_epoch(&fixture, "oother", EARLY_EPOCH,
               0); /* an earlier one changes nothing */
     run(&fixture, READ_MS);
     CU_ASSERT_TRUE(cw_owner_active(fixture.owner));
     fixture.owner->join_in_flight = true;
-    put_epoch(&fixture, "oother", HIGH, 0);
+    put_epoch(&fixture, "oother", HIGH_EPOCH, 0);
     run(&fixture, READ_MS);
     CU_ASSERT_FALSE(cw_owner_active(fixture.owner));
     fixture_end(&fixture);
 }
 
-/* Guards against two processes under one VM's name: the one that starts says
- * of the other that it extends no leases. */
+/* Guards against two processes that use one VM's name: the one that starts
+ * writes that the epoch of the other has ended, so that no leases are expected
+ * from it. */
 static void
-test_an_owner_whose_name_another_uses_makes_way(void)
+test_an_owner_whose_name_is_in_use_drops_ownership(void)
 {
     struct fixture fixture;
 
-    bed_with_state(&fixture);
+    fixture_with_state(&fixture);
     take_over(&fixture);
     fixture.owner->join_in_flight = true;
     put_end(&fixture, "ethis", fixture.owner->epoch - 1, LEFT_MS, NULL);
@@ -508,15 +519,16 @@
     fixture_end(&fixture);
 }
 
-/* Guards against an owner that was replaced without noticing, and is dealt the
- * shard again: its membership proves nothing of the time between. */
+/* Guards against an owner that was replaced without noticing, and is assigned
+ * the shard again: its membership does not confirm that it was the owner in
+ * between. */
 static void
-test_membership_does_not_renew_an_old_proof(void)
+test_membership_does_not_renew_an_old_confirmation(void)
 {
     struct fixture fixture;
     struct timespec proof;
 
-    bed_with_state(&fixture);
+    fixture_with_state(&fixture);
     take_over(&fixture);
     run(&fixture, 1000);
     CU_ASSERT_TRUE(owner_may_order(fixture.owner, fixture.clock.now));
@@ -534,17 +546,17 @@
     fixture_end(&fixture);
 }
 
-/* ---- bounds ---- */
+/* ---- bounds of earlier leases ---- */
 
-/* Guards against a worker given up while a VM that nobody hears of extends its
- * lease, also where a second VM takes over in between. */
+/* Guards against a worker that is given up while a VM whose epoch has no end
+ * extends its lease, also where another VM takes over in between. */
 static void
-test_a_vm_whose_end_never_comes_keeps_the_whole_bound(void)
+test_a_vm_without_an_end_keeps_the_whole_bound(void)
 {
     struct fixture fixture;
 
-    bed_with_state(&fixture);
-    put_epoch(&fixture, "oother", EARLY, 1);
+    fixture_with_state(&fixture);
+    put_epoch(&fixture, "oother", EARLY_EPOCH, 1);
     take_over(&fixture);
     CU_ASSERT_TRUE(is_about(lease_left_ms(&fixture), OPEN_BOUND_MS));
     replace_owner(&fixture, "third");
@@ -556,47 +568,47 @@
     fixture_end(&fixture);
 }
 
-/* Guards against one former owner's end that stands for another's. */
+/* Guards against one former owner's end that is taken for another's. */
 static void
-test_of_two_former_owners_one_has_told(void)
+test_one_of_two_former_owners_has_written_its_end(void)
 {
     struct fixture fixture;
 
-    bed_with_state(&fixture);
-    put_epoch(&fixture, "oa", EARLY, 1);
-    put_epoch(&fixture, "ob", LATE, 1);
-    put_end(&fixture, "eb", LATE, LEFT_MS, "w");
+    fixture_with_state(&fixture);
+    put_epoch(&fixture, "oa", EARLY_EPOCH, 1);
+    put_epoch(&fixture, "ob", LATE_EPOCH, 1);
+    put_end(&fixture, "eb", LATE_EPOCH, LEFT_MS, "w");
     take_over(&fixture);
     CU_ASSERT_TRUE(is_about(lease_left_ms(&fixture), OPEN_BOUND_MS));
     fixture_end(&fixture);
 }
 
-/* Guards against the bound of one worker that is taken for others'. */
+/* Guards against the bound of one worker that is applied to others. */
 static void
 test_ends_bound_each_worker_by_its_own_row(void)
 {
     struct fixture fixture;
 
-    bed_with_state(&fixture);
-    run(&fixture, LEASE_MOST_MS); /* nothing of this VM's former life lasts */
-    put_epoch(&fixture, "oa", EARLY, 1);
-    put_epoch(&fixture, "ob", LATE, 1);
-    put_end(&fixture, "ea", EARLY, 2 * ROW_MS, NULL);
-    put_end(&fixture, "eb", LATE, LEFT_MS, "w");
+    fixture_with_state(&fixture);
+    run(&fixture, GIVEN_MAX_MS); /* leases of a former process have expired */
+    put_epoch(&fixture, "oa", EARLY_EPOCH, 1);
+    put_epoch(&fixture, "ob", LATE_EPOCH, 1);
+    put_end(&fixture, "ea", EARLY_EPOCH, 2 * ROW_MS, NULL);
+    put_end(&fixture, "eb", LATE_EPOCH, LEFT_MS, "w");
     take_over(&fixture);
     CU_ASSERT_TRUE(is_about(lease_left_ms(&fixture), 2 * ROW_MS));
     fixture_end(&fixture);
-    bed_with_state(&fixture);
-    run(&fixture, LEASE_MOST_MS);
-    put_epoch(&fixture, "ob", LATE, 1);
-    put_end(&fixture, "eb", LATE, LEFT_MS, "v");
+    fixture_with_state(&fixture);
+    run(&fixture, GIVEN_MAX_MS);
+    put_epoch(&fixture, "ob", LATE_EPOCH, 1);
+    put_end(&fixture, "eb", LATE_EPOCH, LEFT_MS, "v");
     take_over(&fixture);
     CU_ASSERT_TRUE(is_about(lease_left_ms(&fixture), LEFT_MS));
     fixture_end(&fixture);
 }
 
-/* Guards against an end that lowers what this owner gave itself, or does not
- * lower what it waits for. */
+/* Guards against an end that lowers the bound of a lease that this owner gave
+ * itself, or does not lower that of a worker that has not answered it. */
 static void
 test_a_late_end_lowers_the_bound_of_unanswered_workers_only(void)
 {
@@ -604,17 +616,17 @@
     struct timespec end;
 
     for (unsigned answered = 0; answered < 2; answered++) {
-        bed_with_state(&fixture);
-        run(&fixture, LEASE_MOST_MS);
-        put_epoch(&fixture, "oa", EARLY, 1);
+        fixture_with_state(&fixture);
+        run(&fixture, GIVEN_MAX_MS);
+        put_epoch(&fixture, "oa", EARLY_EPOCH, 1);
         take_over(&fixture);
         CU_ASSERT_TRUE(is_about(lease_left_ms(&fixture), OPEN_BOUND_MS));
         if (answered) {
             make_worker_reachable(&fixture);
             (void)run_answering_polls(&fixture, 500);
-            run(&fixture, 100); /* the next look waits for its answer */
+            run(&fixture, 100); /* the next poll is not answered */
         }
-        put_end(&fixture, "ea", EARLY, ROW_MS, NULL);
+        put_end(&fixture, "ea", EARLY_EPOCH, ROW_MS, NULL);
         end = the_worker(&fixture)->lease_end;
         run(&fixture, READ_MS);
         if (answered) {
@@ -623,23 +635,23 @@
         }
         else {
             CU_ASSERT_TRUE(is_about(lease_left_ms(&fixture), ROW_MS));
-            run(&fixture, ROW_MS + SLOPPY_MS);
+            run(&fixture, ROW_MS + TOLERANCE_MS);
             CU_ASSERT_EQUAL(the_job(&fixture)->runs, 0);
         }
         fixture_end(&fixture);
     }
 }
 
-/* Guards against an end that hides that nothing is known of still earlier
- * owners. */
+/* Guards against an end that hides that nothing is known of owners before that
+ * epoch. */
 static void
 test_without_a_settled_epoch_an_end_is_not_enough(void)
 {
     struct fixture fixture;
 
-    bed_with_state(&fixture);
-    put_epoch(&fixture, "oa", EARLY, 0);
-    put_end(&fixture, "ea", EARLY, ROW_MS, NULL);
+    fixture_with_state(&fixture);
+    put_epoch(&fixture, "oa", EARLY_EPOCH, 0);
+    put_end(&fixture, "ea", EARLY_EPOCH, ROW_MS, NULL);
     take_over(&fixture);
     CU_ASSERT_TRUE(is_about(lease_left_ms(&fixture), FIRST_BOUND_MS));
     fixture_end(&fixture);
@@ -648,14 +660,14 @@
 /* Guards against later owners that stop considering an earlier one too soon,
  * or never. */
 static void
-test_settled_is_written_when_all_is_over(void)
+test_settled_is_written_when_earlier_leases_have_expired(void)
 {
     struct fixture fixture;
 
-    bed_with_state(&fixture);
-    put_epoch(&fixture, "oa", EARLY, 1);
-    put_epoch(&fixture, "ob", LATE, 1);
-    put_end(&fixture, "eb", LATE, LEFT_MS, NULL);
+    fixture_with_state(&fixture);
+    put_epoch(&fixture, "oa", EARLY_EPOCH, 1);
+    put_epoch(&fixture, "ob", LATE_EPOCH, 1);
+    put_end(&fixture, "eb", LATE_EPOCH, LEFT_MS, NULL);
     take_over(&fixture);
     run(&fixture, OPEN_BOUND_MS - 1000);
     CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->settled_below, 1);
@@ -665,34 +677,35 @@
                     fixture.owner->epoch);
     CU_ASSERT_PTR_NULL(epoch_of(&fixture, "a"));
     CU_ASSERT_PTR_NULL(epoch_of(&fixture, "b"));
-    /* An end that comes after that is not of an epoch. */
-    put_end(&fixture, "ea", EARLY, LEFT_MS, NULL);
+    /* An end that arrives after that belongs to no known epoch. */
+    put_end(&fixture, "ea", EARLY_EPOCH, LEFT_MS, NULL);
     run(&fixture, READ_MS);
     CU_ASSERT_TRUE(cw_owner_active(fixture.owner));
     fixture_end(&fixture);
 }
 
-/* Guards against a settled epoch that is forgotten by the next owner's. */
+/* Guards against a settled epoch that the next owner's record does not carry
+ * on. */
 static void
-test_a_settled_epoch_stands_for_later_owners(void)
+test_a_settled_epoch_holds_for_later_owners(void)
 {
     struct fixture fixture;
 
-    bed_with_state(&fixture);
-    put_epoch(&fixture, "oa", EARLY, EARLY);
-    put_end(&fixture, "ea", EARLY, 0, NULL);
+    fixture_with_state(&fixture);
+    put_epoch(&fixture, "oa", EARLY_EPOCH, EARLY_EPOCH);
+    put_end(&fixture, "ea", EARLY_EPOCH, 0, NULL);
     take_over(&fixture);
-    CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->settled_below, EARLY);
-    put_nothing(&fixture, "oa");
+    CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->settled_below, EARLY_EPOCH);
+    put_drop(&fixture, "oa");
     replace_owner(&fixture, "this");
-    CU_ASSERT_TRUE(lease_left_ms(&fixture) <= LEASE_MOST_MS);
+    CU_ASSERT_TRUE(lease_left_ms(&fixture) <= GIVEN_MAX_MS);
     fixture_end(&fixture);
 }
 
-/* Guards against the longer of a note and an end: both hold, so that the one
- * that is sooner does. */
+/* Guards against using the later of a lease note and an end: both hold, so
+ * that the earlier one bounds the lease. */
 static void
-test_notes_and_ends_hold_together(void)
+test_the_earlier_of_a_note_and_an_end_holds(void)
 {
     static const unsigned lefts_ms[][2] = {{700, LEFT_MS}, {LEFT_MS, 700}};
 
@@ -702,11 +715,11 @@
             cw_xdr_encode((xdrproc_t)xdr_cw_note_record, &note);
         struct fixture fixture;
 
-        bed_with_state(&fixture);
-        run(&fixture, LEASE_MOST_MS);
-        put_epoch(&fixture, "oa", EARLY, 1);
+        fixture_with_state(&fixture);
+        run(&fixture, GIVEN_MAX_MS);
+        put_epoch(&fixture, "oa", EARLY_EPOCH, 1);
         put(&fixture, CW_JOBS_TOPIC, "nw", bytes);
-        put_end(&fixture, "ea", EARLY, lefts_ms[i][1], NULL);
+        put_end(&fixture, "ea", EARLY_EPOCH, lefts_ms[i][1], NULL);
         take_over(&fixture);
         CU_ASSERT_TRUE(is_about(lease_left_ms(&fixture), 700));
         g_byte_array_unref(bytes);
@@ -714,11 +727,11 @@
     }
 }
 
-/* Guards against a task that runs twice: an earlier owner gave a worker a
- * whole lease, whose work then ended; a start of the next owner gives a short
- * one, and does not shorten the other. */
+/* Guards against a task that runs twice.  An earlier owner gave a full lease
+ * to a worker whose work then ended; a start sent by the next owner gives a
+ * short one, which does not shorten the other. */
 static void
-test_a_start_after_a_takeover_counts_with_an_earlier_lease(void)
+test_a_start_does_not_shorten_an_earlier_lease(void)
 {
     const struct cw_target_answer idle = {
         .status = CW_TARGET_OK,
@@ -729,8 +742,8 @@
     struct timespec answered;
 
     fixture_begin(&fixture);
-    put_epoch(&fixture, "oa", EARLY, 1);
-    fixture.generation = LATER;
+    put_epoch(&fixture, "oa", EARLY_EPOCH, 1);
+    fixture.generation = LATER_GENERATION;
     take_over(&fixture);
     target = owner_target_get(fixture.owner, "w");
     make_worker_reachable(&fixture);
@@ -739,7 +752,8 @@
     answer_last(CW_TARGET_UNKNOWN);
     run(&fixture, 400);
     CU_ASSERT_EQUAL_FATAL(unanswered->len, 1);
-    /* "a" has extended the lease just before it was shut out there. */
+    /* "a" has extended the lease just before the worker saw the later token.
+     */
     answered = fixture.clock.now;
     g_array_set_size(unanswered, 0);
     last_order.done(last_order.context, &idle);
@@ -749,7 +763,7 @@
     fixture_end(&fixture);
 }
 
-/* The looks under way fail. */
+/* Fails the polls in flight. */
 static void
 fail_looks(void)
 {
@@ -769,17 +783,17 @@
     }
 }
 
-/* Guards against 0.5 s that are waited for twice: the bound has them for what
- * earlier owners sent, and a stop by this one gives no lease. */
+/* Guards against waiting 0.5 s twice: the bound includes them for orders that
+ * earlier owners sent, and a stop sent by this owner gives no lease. */
 static void
-test_a_stop_to_a_silent_worker_adds_nothing_to_its_bound(void)
+test_a_stop_to_an_unresponsive_worker_does_not_raise_its_bound(void)
 {
     struct fixture fixture;
     struct owner_target *target;
     struct cw_task_name name = {.job = ID};
     struct timespec end;
 
-    bed_with_state(&fixture);
+    fixture_with_state(&fixture);
     take_over(&fixture);
     make_worker_reachable(&fixture);
     target = the_worker(&fixture);
@@ -794,9 +808,9 @@
     fixture_end(&fixture);
 }
 
-/* ---- workers that carry orders out ---- */
+/* ---- emulated workers ---- */
 
-struct pair {
+struct emulation {
     struct fixture fixture;
     struct worker_fleet *fleet;
     bool resets; /* "w" resets connections from its first start on */
@@ -820,24 +834,24 @@
 count_start(void *context, const char *worker, const struct cw_task_name *task,
             unsigned number)
 {
-    struct pair *pair = context;
+    struct emulation *emulation = context;
 
     (void)number;
-    pair->resets = pair->resets || strcmp(worker, "w") == 0;
-    pair->starts++;
-    pair->twice += pair->running[task->index]++ > 0;
+    emulation->resets = emulation->resets || strcmp(worker, "w") == 0;
+    emulation->starts++;
+    emulation->twice += emulation->running[task->index]++ > 0;
 }
 
 static void
 count_end(void *context, const char *worker, const struct cw_task_name *task,
           unsigned number, enum cw_end_kind how)
 {
-    struct pair *pair = context;
+    struct emulation *emulation = context;
 
     (void)worker;
     (void)number;
     (void)how;
-    pair->running[task->index]--;
+    emulation->running[task->index]--;
 }
 
 static void
@@ -854,24 +868,26 @@
 }
 
 static int64_t
-fleet_ms(const struct pair *pair)
+fleet_ms(const struct emulation *emulation)
 {
-    return cw_time_diff_ms(cw_time_from_ms(START_MS), pair->fixture.clock.now);
+    return cw_time_diff_ms(cw_time_from_ms(START_MS),
+                           emulation->fixture.clock.now);
 }
 
 static void
-carry_out(struct pair *pair, const struct cw_target_order *order)
+execute_order(struct emulation *emulation, const struct cw_target_order *order)
 {
     GArray *running = g_array_new(FALSE, FALSE, sizeof(struct cw_running));
     GArray *ended = g_array_new(FALSE, FALSE, sizeof(struct cw_ended));
     GPtrArray *texts = g_ptr_array_new_with_free_func(g_free);
     struct cw_target_answer answer = {.status = CW_TARGET_UNKNOWN};
 
-    if (!pair->resets || strcmp(order->id, "w") != 0) {
-        worker_model_order(worker_fleet_find(pair->fleet, order->id), order,
-                           fleet_ms(pair), &answer, running, ended, texts);
+    if (!emulation->resets || strcmp(order->id, "w") != 0) {
+        worker_model_order(worker_fleet_find(emulation->fleet, order->id),
+                           order, fleet_ms(emulation), &answer, running, ended,
+                           texts);
     }
-    answer.boot_ms = 0; /* each life has an id of its own */
+    answer.boot_ms = 0; /* each incarnation has its own id */
     if (order->done != NULL) {
         order->done(order->context, &answer);
     }
@@ -881,38 +897,39 @@
 }
 
 static void
-run_pair(struct pair *pair, unsigned ms)
+run_emulation(struct emulation *emulation, unsigned ms)
 {
     for (unsigned passed = 0; passed < ms; passed += STEP_MS) {
-        run(&pair->fixture, STEP_MS);
-        worker_fleet_advance(pair->fleet, fleet_ms(pair));
+        run(&emulation->fixture, STEP_MS);
+        worker_fleet_advance(emulation->fleet, fleet_ms(emulation));
         while (unanswered != NULL && unanswered->len > 0) {
             struct cw_target_order order =
                 g_array_index(unanswered, struct cw_target_order, 0);
 
             g_array_remove_index(unanswered, 0);
-            carry_out(pair, &order);
+            execute_order(emulation, &order);
         }
     }
 }
 
 static void
-list_worker_at(struct pair *pair, const char *id)
+make_reachable(struct emulation *emulation, const char *id)
 {
-    struct owner_target *target = owner_target_get(pair->fixture.owner, id);
+    struct owner_target *target =
+        owner_target_get(emulation->fixture.owner, id);
 
     g_free(target->address);
     target->address = g_strdup(id);
     target->service = g_intern_string("s");
     target->capacity =
-        *worker_model_capacity(worker_fleet_find(pair->fleet, id));
+        *worker_model_capacity(worker_fleet_find(emulation->fleet, id));
     owner_target_set_rack(target, "r0");
     target->listed = true;
     owner_target_wake(target);
 }
 
-/* Guards against a task that runs twice, as above: the worker resets all
- * connections once it has begun the task. */
+/* Guards against the same with emulated workers: one resets all connections
+ * once it has started the first task. */
 static void
 test_no_task_runs_twice_under_an_earlier_lease(void)
 {
@@ -920,63 +937,64 @@
         .accelerators = TASKS, .cpu_milli = 64000, .memory_mb = 65536};
     struct cw_target_order earlier = {.kind = CW_ORDER_POLL,
                                       .id = "w",
-                                      .fence = EARLY,
+                                      .fence = EARLY_EPOCH,
                                       .lease_until_ms = LEASE_MS};
-    struct pair pair = {0};
+    struct emulation emulation = {0};
     struct worker_listener listener = {.plan = plan_long_work,
                                        .started = count_start,
                                        .ended = count_end,
                                        .confirmed = ignore_confirmed,
-                                       .context = &pair};
-
-    fixture_begin(&pair.fixture);
-    pair.fixture.generation = LATER;
-    pair.fleet = worker_fleet_create(&listener);
-    worker_fleet_add(pair.fleet, "w", "r0", &capacity, 0);
-    worker_fleet_add(pair.fleet, "v", "r0", &capacity, 0);
-    put_epoch(&pair.fixture, "oa", EARLY, 1);
-    put_spec(&pair.fixture);
-    carry_out(&pair, &earlier);
-    take_over(&pair.fixture);
-    list_worker_at(&pair, "w");
-    run_pair(&pair, 200);
-    CU_ASSERT_TRUE(pair.starts > 0);
-    list_worker_at(&pair, "v");
-    run_pair(&pair, FIRST_BOUND_MS);
-    CU_ASSERT_TRUE(pair.starts > TASKS);
-    CU_ASSERT_EQUAL(pair.twice, 0);
-    worker_fleet_free(pair.fleet);
-    fixture_end(&pair.fixture);
+                                       .context = &emulation};
+
+    fixture_begin(&emulation.fixture);
+    emulation.fixture.generation = LATER_GENERATION;
+    emulation.fleet = worker_fleet_create(&listener);
+    worker_fleet_add(emulation.fleet, "w", "r0", &capacity, 0);
+    worker_fleet_add(emulation.fleet, "v", "r0", &capacity, 0);
+    put_epoch(&emulation.fixture, "oa", EARLY_EPOCH, 1);
+    put_spec(&emulation.fixture);
+    execute_order(&emulation, &earlier);
+    take_over(&emulation.fixture);
+    make_reachable(&emulation, "w");
+    run_emulation(&emulation, 200);
+    CU_ASSERT_TRUE(emulation.starts > 0);
+    make_reachable(&emulation, "v");
+    run_emulation(&emulation, FIRST_BOUND_MS);
+    CU_ASSERT_TRUE(emulation.starts > TASKS);
+    CU_ASSERT_EQUAL(emulation.twice, 0);
+    worker_fleet_free(emulation.fleet);
+    fixture_end(&emulation.fixture);
 }
 
 static const struct test tests[] = {
-    {"again", test_records_given_again_change_nothing},
+    {"again", test_records_read_again_change_nothing},
     {"older", test_older_records_change_nothing},
     {"late end", test_a_late_end_does_not_end_a_newer_epoch},
-    {"drop", test_a_drop_ends_what_was_before_it},
+    {"drop", test_a_drop_removes_what_was_before_it},
     {"unreadable", test_unreadable_records_change_nothing},
-    {"recorded first", test_nothing_is_decided_before_the_epoch_is_recorded},
-    {"former life", test_a_former_life_is_told_once},
-    {"no answer", test_an_end_without_an_answer_is_told_again},
-    {"rows", test_a_silent_worker_has_a_row_of_its_own},
-    {"rows of others", test_a_worker_that_is_not_silent_yet_has_a_row_too},
-    {"idle rows", test_a_worker_without_runs_has_a_row_too},
-    {"undecided", test_an_epoch_without_decisions_ends_with_the_one_before},
-    {"later epoch", test_an_owner_that_reads_a_later_epoch_is_deposed},
-    {"never told", test_a_vm_whose_end_never_comes_keeps_the_whole_bound},
-    {"one of two", test_of_two_former_owners_one_has_told},
+    {"recorded first", test_no_owner_is_active_before_its_epoch_is_stored},
+    {"former process", test_the_end_of_a_former_process_is_written_once},
+    {"no answer", test_an_end_without_an_answer_is_written_again},
+    {"rows", test_an_unresponsive_worker_has_its_own_row},
+    {"rows of responsive workers",
+     test_a_worker_that_is_not_unresponsive_yet_has_a_row},
+    {"rows of idle workers", test_a_worker_without_runs_has_a_row},
+    {"not active", test_an_epoch_without_activity_ends_with_the_one_before},
+    {"later epoch", test_an_owner_that_reads_a_later_epoch_drops_ownership},
+    {"no end", test_a_vm_without_an_end_keeps_the_whole_bound},
+    {"one of two", test_one_of_two_former_owners_has_written_its_end},
     {"own row", test_ends_bound_each_worker_by_its_own_row},
     {"unanswered",
      test_a_late_end_lowers_the_bound_of_unanswered_workers_only},
     {"unsettled", test_without_a_settled_epoch_an_end_is_not_enough},
-    {"name", test_an_owner_whose_name_another_uses_makes_way},
-    {"membership", test_membership_does_not_renew_an_old_proof},
-    {"settle", test_settled_is_written_when_all_is_over},
-    {"settled", test_a_settled_epoch_stands_for_later_owners},
-    {"notes", test_notes_and_ends_hold_together},
-    {"stop", test_a_stop_to_a_silent_worker_adds_nothing_to_its_bound},
+    {"name", test_an_owner_whose_name_is_in_use_drops_ownership},
+    {"membership", test_membership_does_not_renew_an_old_confirmation},
+    {"settle", test_settled_is_written_when_earlier_leases_have_expired},
+    {"settled", test_a_settled_epoch_holds_for_later_owners},
+    {"lease notes", test_the_earlier_of_a_note_and_an_end_holds},
+    {"stop", test_a_stop_to_an_unresponsive_worker_does_not_raise_its_bound},
     {"twice", test_no_task_runs_twice_under_an_earlier_lease},
-    {"start", test_a_start_after_a_takeover_counts_with_an_earlier_lease},
+    {"start", test_a_start_does_not_shorten_an_earlier_lease},
 };
 
 TEST_MAIN("epochs", tests)
--- a/tests/test_group.c
+++ b/tests/test_group.c
@@ -1,14 +1,17 @@
-/* Which VMs let the group deal them the shard. */
+/* Which VMs join the group whose members are assigned the shard, and when a VM
+ * that takes the shard over fences the present owner.  Guards against a weak
+ * VM that owns the shard while a strong one could, and against a shard without
+ * an owner. */
 #include "test_main.h"
 
 #include "owner_site.h"
 #include "platform/platform.h"
 #include "fake_store.h"
 
-enum { WEAK = 120, STRONG = 500, STEP_MS = 100 };
+enum { WEAK_MILLI = 120, STRONG_MILLI = 500, STEP_MS = 100 };
 
-/* An owner on a VM that is a member of no group yet; joins, leaves and
- * announcements are counted. */
+/* A VM that is not a member of the group yet; its joins and leaves, and the
+ * fencing appends, are counted. */
 struct vm {
     struct fake_store store;
     struct cw_clock_manual clock;
@@ -107,17 +110,17 @@
     g_byte_array_unref(bytes);
 }
 
-/* As many as are never weak. */
+/* Announces as many strong VMs as are never weak. */
 static void
 announce_strong(struct vm *vm)
 {
-    announce(vm, "other", STRONG);
-    announce(vm, "second", STRONG);
-    announce(vm, "third", STRONG);
+    announce(vm, "other", STRONG_MILLI);
+    announce(vm, "second", STRONG_MILLI);
+    announce(vm, "third", STRONG_MILLI);
 }
 
 static void
-beat(struct vm *vm)
+heartbeat(struct vm *vm)
 {
     struct cw_beat_record value = {.vm = (char *)"other", .epoch = 1};
     GByteArray *bytes = cw_xdr_encode((xdrproc_t)xdr_cw_beat_record, &value);
@@ -126,13 +129,13 @@
     g_byte_array_unref(bytes);
 }
 
-/* Lets time pass; an owner elsewhere writes every 500 ms if `owned`. */
+/* Lets time pass; another VM's owner writes every 500 ms if `owned`. */
 static void
 run(struct vm *vm, int64_t ms, bool owned)
 {
     for (int64_t passed = 0; passed < ms; passed += STEP_MS) {
         if (owned && passed % 500 == 0) {
-            beat(vm);
+            heartbeat(vm);
         }
         vm->clock.now = cw_time_add_ms(vm->clock.now, STEP_MS);
         cw_follower_tick(cw_replica_follower(vm->replica), vm->clock.now);
@@ -145,8 +148,8 @@
 {
     struct vm vm;
 
-    vm_begin(&vm, STRONG);
-    announce(&vm, "other", STRONG);
+    vm_begin(&vm, STRONG_MILLI);
+    announce(&vm, "other", STRONG_MILLI);
     vm.store.answer_status = CW_STORE_REFUSED;
     run(&vm, 1000, false);
     CU_ASSERT_EQUAL(vm.joins, 0);
@@ -162,7 +165,7 @@
 {
     struct vm vm;
 
-    vm_begin(&vm, WEAK);
+    vm_begin(&vm, WEAK_MILLI);
     announce_strong(&vm);
     run(&vm, 20000, true);
     CU_ASSERT_EQUAL(vm.joins, 0);
@@ -170,11 +173,11 @@
 }
 
 static void
-test_a_weak_vm_joins_when_nobody_decides(void)
+test_a_weak_vm_joins_when_no_owner_is_active(void)
 {
     struct vm vm;
 
-    vm_begin(&vm, WEAK);
+    vm_begin(&vm, WEAK_MILLI);
     announce_strong(&vm);
     run(&vm, 1000, true);
     run(&vm, 2000, false);
@@ -184,13 +187,14 @@
     vm_end(&vm);
 }
 
-/* The store was away, for the owner too: its silence says nothing. */
+/* The store was unavailable to the owner as well: that no record of it arrived
+ * does not mean that none is active. */
 static void
 test_time_without_reading_does_not_count(void)
 {
     struct vm vm;
 
-    vm_begin(&vm, WEAK);
+    vm_begin(&vm, WEAK_MILLI);
     announce_strong(&vm);
     run(&vm, 1000, true);
     vm.store.answer_status = CW_STORE_REFUSED;
@@ -204,22 +208,22 @@
 }
 
 static void
-test_a_weak_owner_makes_way_for_a_stronger_vm(void)
+test_a_weak_owner_leaves_when_a_stronger_vm_starts(void)
 {
     struct vm vm;
 
-    vm_begin(&vm, WEAK);
+    vm_begin(&vm, WEAK_MILLI);
     announce_strong(&vm);
     run(&vm, 5000, false);
     CU_ASSERT_TRUE(vm.joins > 0);
     vm.owner->partition_assigned = true;
     run(&vm, 5000, true);
     CU_ASSERT_EQUAL(vm.leaves, 0);
-    announce(&vm, "other", STRONG); /* it was started again */
+    announce(&vm, "other", STRONG_MILLI); /* it was restarted */
     vm.joins = 0;
-    run(&vm, 2000, true); /* nobody has shut it out yet */
+    run(&vm, 2000, true); /* no other VM has fenced it yet */
     CU_ASSERT_EQUAL(vm.leaves, 1);
-    CU_ASSERT_TRUE(vm.joins <= 2); /* before it read of it */
+    CU_ASSERT_TRUE(vm.joins <= 2); /* before it read the announcement */
     vm.owner->partition_assigned = false;
     vm.joins = 0;
     run(&vm, 5000, true);
@@ -227,13 +231,13 @@
     vm_end(&vm);
 }
 
-/* At a first start all begin at once and know nothing of each other. */
+/* When all VMs start at the same time, they know nothing of each other. */
 static void
 test_a_member_leaves_when_it_learns_that_it_is_weak(void)
 {
     struct vm vm;
 
-    vm_begin(&vm, WEAK);
+    vm_begin(&vm, WEAK_MILLI);
     run(&vm, 500, false);
     CU_ASSERT_TRUE(vm.joins > 0);
     announce_strong(&vm);
@@ -242,18 +246,18 @@
     vm_end(&vm);
 }
 
-/* Two strong VMs are too few to do without the others. */
+/* The three strongest VMs are never weak, however much they differ. */
 static void
 test_some_vms_are_never_weak(void)
 {
     struct vm vm;
 
-    vm_begin(&vm, WEAK);
-    announce(&vm, "other", STRONG);
-    announce(&vm, "second", STRONG);
+    vm_begin(&vm, WEAK_MILLI);
+    announce(&vm, "other", STRONG_MILLI);
+    announce(&vm, "second", STRONG_MILLI);
     run(&vm, 1000, true);
     CU_ASSERT_TRUE(vm.joins > 0);
-    announce(&vm, "third", STRONG);
+    announce(&vm, "third", STRONG_MILLI);
     run(&vm, 500, true);
     CU_ASSERT_EQUAL(vm.leaves, 1);
     vm_end(&vm);
@@ -264,7 +268,7 @@
 {
     struct vm vm;
 
-    vm_begin(&vm, STRONG);
+    vm_begin(&vm, STRONG_MILLI);
     run(&vm, 300, false);
     CU_ASSERT_EQUAL(vm.store.appends, 1);
     run(&vm, 3000, false);
@@ -272,25 +276,26 @@
     vm_end(&vm);
 }
 
-/* Beats cost the store's rate: none where all VMs are alike. */
+/* Heartbeats take some of the store's request rate, so that none are sent
+ * where no VM is weak. */
 static void
-test_beats_only_where_a_weak_vm_waits_for_them(void)
+test_heartbeats_are_due_only_where_a_vm_is_weak(void)
 {
     struct vm vm;
 
-    vm_begin(&vm, STRONG);
+    vm_begin(&vm, STRONG_MILLI);
     announce_strong(&vm);
     run(&vm, 2000, false);
     CU_ASSERT_FALSE(owner_candidacy_heartbeat_due(vm.owner, vm.clock.now));
-    announce(&vm, "small", WEAK);
+    announce(&vm, "small", WEAK_MILLI);
     run(&vm, 500, false);
     CU_ASSERT_TRUE(owner_candidacy_heartbeat_due(vm.owner, vm.clock.now));
-    owner_log_open(vm.owner->jobs_log, 1); /* it has written just now */
+    owner_log_open(vm.owner->jobs_log, 1); /* the owner has just written */
     CU_ASSERT_FALSE(owner_candidacy_heartbeat_due(vm.owner, vm.clock.now));
     vm_end(&vm);
 }
 
-/* Appends that set an epoch and hold no record. */
+/* Counts appends that set an epoch and have no record. */
 static void
 count_fences(struct cw_store *store, const struct cw_store_append *call)
 {
@@ -308,43 +313,44 @@
     }
 }
 
-/* Until it is shut out the present owner decides; the next one lets it while
- * it reads. */
+/* The present owner is active until it is fenced, so the next one fences it
+ * only when it has read the logs. */
 static void
-test_a_vm_that_is_behind_reads_before_it_shuts_the_owner_out(void)
+test_a_vm_that_is_behind_reads_before_it_fences_the_owner(void)
 {
     struct vm vm;
 
-    vm_begin(&vm, STRONG);
+    vm_begin(&vm, STRONG_MILLI);
     ((struct cw_store_ops *)vm.store.base.ops)->append = count_fences;
     tick_owner(&vm, 20);
     for (unsigned i = 0; i < 500; i++) {
-        beat(&vm);
+        heartbeat(&vm);
     }
-    vm.store.page_records_max = 1; /* far behind: a record an answer */
+    vm.store.page_records_max =
+        1; /* one record per answer keeps the VM far behind */
     vm.owner->generation = 7;
     owner_take_over(vm.owner, vm.clock.now);
     tick_owner(&vm, 300);
     CU_ASSERT_EQUAL(vm.fences, 0);
     vm.store.page_records_max = 0;
     tick_owner(&vm, 300);
-    CU_ASSERT_EQUAL(vm.fences, 2); /* one a log: states, jobs */
+    CU_ASSERT_EQUAL(vm.fences, 2); /* one per log: states, jobs */
     CU_ASSERT_TRUE(cw_owner_active(vm.owner));
     vm_end(&vm);
 }
 
 static const struct test tests[] = {
-    {"reads first",
-     test_a_vm_that_is_behind_reads_before_it_shuts_the_owner_out},
+    {"reads first", test_a_vm_that_is_behind_reads_before_it_fences_the_owner},
     {"equal", test_equal_vms_join_once_they_have_read},
     {"stays out", test_a_weak_vm_stays_out_while_an_owner_writes},
-    {"joins", test_a_weak_vm_joins_when_nobody_decides},
+    {"joins", test_a_weak_vm_joins_when_no_owner_is_active},
     {"not reading", test_time_without_reading_does_not_count},
-    {"makes way", test_a_weak_owner_makes_way_for_a_stronger_vm},
-    {"learns", test_a_member_leaves_when_it_learns_that_it_is_weak},
+    {"weak owner leaves", test_a_weak_owner_leaves_when_a_stronger_vm_starts},
+    {"learns that it is weak",
+     test_a_member_leaves_when_it_learns_that_it_is_weak},
     {"never weak", test_some_vms_are_never_weak},
     {"announces", test_a_vm_announces_itself_once_and_again_if_refused},
-    {"beats", test_beats_only_where_a_weak_vm_waits_for_them},
+    {"heartbeats", test_heartbeats_are_due_only_where_a_vm_is_weak},
 };
 
 TEST_MAIN("group", tests)
--- a/tests/test_hints.c
+++ b/tests/test_hints.c
@@ -1,13 +1,13 @@
-/* Ends that an owner saw and could not store.
+/* Ends of runs that an owner received and could not store.
  *
- * Seen: jobs that stood still until their callers gave up, on two of twelve
- * plays of one day: one task's end was lost with its worker.
- * How it came about: a data centre was cut off with the VM that decided and a
- * worker that was leaving.  The VM still heard that the task was done, could
- * not store it, and was replaced; the worker left behind the cut.
- * Cause: what an owner knows and has not stored went with its ownership, so
- * that the next one waited 12 s for the worker's lease and ran the task again.
- * Proof: here the next owner, which never hears the worker, knows the end. */
+ * Guards against a task that runs a second time, 12 s later, although its end
+ * was received.  A data centre was disconnected together with the owner's VM
+ * and a worker that was draining.  The owner still received the end of the
+ * task, could not store it, and was replaced; then the worker shut down.  The
+ * next owner waited 12 s for the worker's lease to expire and ran the task
+ * again, and in two of twelve runs of one test day callers gave up on jobs
+ * that made no progress meanwhile.  Here the next owner, which the worker
+ * never answers, must know the end. */
 #include "test_main.h"
 
 #include "owner_fixture.h"
@@ -16,10 +16,10 @@
 
 enum { CLOCK_MS = 50000, DONE = 3, WAIT_MS = 1000 };
 
-/* Answers all looks under way: the first `done` tasks have ended, the others
+/* Answers all polls in flight: the first `done` tasks have ended, the others
  * run. */
 static void
-answer_looks(unsigned done)
+answer_polls(unsigned done)
 {
     struct cw_running running[TASKS] = {0};
     struct cw_ended ended[TASKS] = {0};
@@ -54,17 +54,17 @@
 }
 
 static void
-run_answered(struct fixture *fixture, unsigned ms, unsigned done)
+run_answering(struct fixture *fixture, unsigned ms, unsigned done)
 {
     for (unsigned passed = 0; passed < ms; passed += STEP_MS) {
         run(fixture, STEP_MS);
-        answer_looks(done);
+        answer_polls(done);
     }
 }
 
-/* An owner of a job whose tasks run on a worker that answers. */
+/* Makes the VM the owner of a job whose tasks run on a worker that answers. */
 static void
-bed_with_runs(struct fixture *fixture)
+fixture_with_runs(struct fixture *fixture)
 {
     fixture_begin(fixture);
     put_spec(fixture);
@@ -72,19 +72,19 @@
     take_over(fixture);
     CU_ASSERT_PTR_NOT_NULL_FATAL(the_worker(fixture));
     make_worker_reachable(fixture);
-    run_answered(fixture, WAIT_MS, 0);
+    run_answering(fixture, WAIT_MS, 0);
     CU_ASSERT_EQUAL(the_job(fixture)->runs, TASKS);
 }
 
-/* Cut off from the store, the owner hears of ends, and is replaced; the worker
- * leaves, or stays. */
+/* Disconnected from the store, the owner receives ends, and is replaced; the
+ * worker drains, or stays. */
 static void
-see_ends_behind_a_cut(struct fixture *fixture, bool leaves)
+receive_ends_while_disconnected(struct fixture *fixture, bool leaves)
 {
-    bed_with_runs(fixture);
+    fixture_with_runs(fixture);
     fixture->store.answer_status = CW_STORE_UNKNOWN;
     the_worker(fixture)->draining = leaves;
-    run_answered(fixture, 200, DONE);
+    run_answering(fixture, 200, DONE);
     CU_ASSERT_EQUAL(step_of(the_job(fixture))->left, TASKS - DONE);
     owner_drop_ownership(fixture->owner, "test");
     fixture->owner->partition_assigned = false;
@@ -92,7 +92,7 @@
 }
 
 static void
-next_vm_decides(struct fixture *fixture)
+next_vm_takes_over(struct fixture *fixture)
 {
     vm_end(fixture);
     vm_begin(fixture);
@@ -101,7 +101,7 @@
 }
 
 static unsigned
-hints_known(const struct fixture *fixture)
+hint_count(const struct fixture *fixture)
 {
     return cw_replica_find_job(fixture->replica, ID)->hints->len;
 }
@@ -111,20 +111,20 @@
 {
     struct fixture fixture;
 
-    see_ends_behind_a_cut(&fixture, true);
+    receive_ends_while_disconnected(&fixture, true);
     run(&fixture, WAIT_MS);
     fixture.store.answer_status = CW_STORE_OK;
     run(&fixture, WAIT_MS);
-    next_vm_decides(&fixture);
-    CU_ASSERT_EQUAL(hints_known(&fixture), 1);
+    next_vm_takes_over(&fixture);
+    CU_ASSERT_EQUAL(hint_count(&fixture), 1);
     CU_ASSERT_EQUAL(step_of(the_job(&fixture))->left, TASKS - DONE);
     CU_ASSERT_EQUAL(the_job(&fixture)->runs, TASKS - DONE);
     fixture_end(&fixture);
 }
 
-/* The former owner comes back to the store later. */
+/* The former owner reaches the store only after the next one took over. */
 static void
-test_an_owner_that_decides_already_takes_them(void)
+test_an_owner_that_is_active_already_applies_them(void)
 {
     struct fixture fixture;
     struct store_model_page page;
@@ -132,7 +132,7 @@
     char *key = NULL;
     GByteArray *value = g_byte_array_new();
 
-    see_ends_behind_a_cut(&fixture, true);
+    receive_ends_while_disconnected(&fixture, true);
     fixture.store.answer_status = CW_STORE_OK;
     run(&fixture, WAIT_MS);
     store_model_newest(fixture.store.model, CW_JOBS_TOPIC, NULL, &page);
@@ -147,56 +147,56 @@
     CU_ASSERT_PTR_NOT_NULL_FATAL(key);
     fixture_end(&fixture);
 
-    bed_with_runs(&fixture);
+    fixture_with_runs(&fixture);
     hint = (struct cw_store_record){.key = key,
                                     .value = value->data,
                                     .length = value->len,
                                     .offset = 1000};
     cw_replica_apply(fixture.replica, &hint);
-    cw_replica_apply(fixture.replica, &hint); /* may be given again */
+    cw_replica_apply(fixture.replica, &hint); /* a record may be given twice */
     CU_ASSERT_EQUAL(step_of(the_job(&fixture))->left, TASKS - DONE);
     CU_ASSERT_EQUAL(the_job(&fixture)->runs, TASKS - DONE);
     /* The worker lists them as well. */
-    run_answered(&fixture, 200, DONE);
+    run_answering(&fixture, 200, DONE);
     CU_ASSERT_EQUAL(step_of(the_job(&fixture))->left, TASKS - DONE);
     g_free(key);
     g_byte_array_unref(value);
     fixture_end(&fixture);
 }
 
-/* A worker that stays lists its ends to the next owner: 2,300 of them after an
- * outage were 200 kB for each of 147 VMs to read. */
+/* A worker that stays lists its ends to the next owner, so that they need no
+ * hints: 2,300 of them after an outage were 200 kB for each of 147 VMs to
+ * read. */
 static void
-test_ends_of_workers_that_stay_are_not_told(void)
+test_ends_of_workers_that_stay_become_no_hints(void)
 {
     struct fixture fixture;
 
-    see_ends_behind_a_cut(&fixture, false);
+    receive_ends_while_disconnected(&fixture, false);
     fixture.store.answer_status = CW_STORE_OK;
     run(&fixture, WAIT_MS);
-    next_vm_decides(&fixture);
-    CU_ASSERT_EQUAL(hints_known(&fixture), 0);
+    next_vm_takes_over(&fixture);
+    CU_ASSERT_EQUAL(hint_count(&fixture), 0);
     fixture_end(&fixture);
 }
 
-/* Nothing is told of what is stored. */
 static void
-test_stored_ends_are_not_told(void)
+test_stored_ends_become_no_hints(void)
 {
     struct fixture fixture;
 
-    bed_with_runs(&fixture);
-    run_answered(&fixture, WAIT_MS, DONE);
+    fixture_with_runs(&fixture);
+    run_answering(&fixture, WAIT_MS, DONE);
     owner_drop_ownership(fixture.owner, "test");
     fixture.generation++;
     run(&fixture, WAIT_MS);
-    next_vm_decides(&fixture);
-    CU_ASSERT_EQUAL(hints_known(&fixture), 0);
+    next_vm_takes_over(&fixture);
+    CU_ASSERT_EQUAL(hint_count(&fixture), 0);
     CU_ASSERT_EQUAL(step_of(the_job(&fixture))->left, TASKS - DONE);
     fixture_end(&fixture);
 }
 
-/* Of a run that was given up, only that it is done still counts. */
+/* Of ends of a run that was given up, only "done" still counts. */
 static void
 test_a_former_run_counts_only_if_it_is_done(void)
 {
@@ -232,7 +232,7 @@
     struct fixture fixture;
     struct owner_step *step;
 
-    bed_with_runs(&fixture);
+    fixture_with_runs(&fixture);
     step = step_of(the_job(&fixture));
     owner_hint_apply(fixture.owner, ID, &hint);
     owner_hint_apply(fixture.owner, "0000000000000000", &hint);
@@ -248,7 +248,7 @@
 }
 
 static void
-test_a_hint_that_cannot_be_read_is_passed_over(void)
+test_a_hint_that_cannot_be_decoded_is_skipped(void)
 {
     struct fixture fixture;
     GByteArray *bytes = g_byte_array_new();
@@ -259,7 +259,7 @@
     g_byte_array_append(bytes, (const guint8 *)"\1\2\3", 3);
     put(&fixture, CW_JOBS_TOPIC, "h" ID ".x", bytes);
     take_over(&fixture);
-    CU_ASSERT_EQUAL(hints_known(&fixture), 0);
+    CU_ASSERT_EQUAL(hint_count(&fixture), 0);
     CU_ASSERT_EQUAL(step_of(the_job(&fixture))->left, TASKS);
     g_byte_array_unref(bytes);
     fixture_end(&fixture);
@@ -267,11 +267,11 @@
 
 static const struct test tests[] = {
     {"next owner", test_the_next_owner_knows_ends_that_could_not_be_stored},
-    {"decides already", test_an_owner_that_decides_already_takes_them},
-    {"stays", test_ends_of_workers_that_stay_are_not_told},
-    {"stored", test_stored_ends_are_not_told},
+    {"active already", test_an_owner_that_is_active_already_applies_them},
+    {"worker stays", test_ends_of_workers_that_stay_become_no_hints},
+    {"stored", test_stored_ends_become_no_hints},
     {"former run", test_a_former_run_counts_only_if_it_is_done},
-    {"unreadable", test_a_hint_that_cannot_be_read_is_passed_over},
+    {"unreadable", test_a_hint_that_cannot_be_decoded_is_skipped},
 };
 
 TEST_MAIN("hints", tests)
--- a/tests/test_memo.c
+++ b/tests/test_memo.c
@@ -1,17 +1,20 @@
-/* Shapes that found no place in a pass of placement. */
+/* Steps that are skipped in a placement pass because one that is no harder to
+ * place could not be placed.  Guards against skipping a step that could be
+ * placed, and against searching for one that cannot. */
 #include "test_main.h"
 
 #include "owner_site.h"
 
 static bool
-hopeless(struct site *site, struct owner_job *job, enum owner_attempt attempt)
+is_skipped(struct site *site, struct owner_job *job,
+           enum owner_attempt attempt)
 {
     return owner_memo_has_failed(site->owner, step_of(job), attempt,
                                  site->clock.now);
 }
 
 static void
-fail(struct site *site, struct owner_job *job)
+add_failure(struct site *site, struct owner_job *job)
 {
     owner_memo_add_failure(site->owner, step_of(job), OWNER_ATTEMPT_PLACE,
                            site->clock.now);
@@ -20,29 +23,29 @@
 static const struct cw_step_spec four = {.tasks = 4, .accelerators = 4};
 
 static void
-test_what_is_as_demanding_needs_no_look(void)
+test_steps_that_are_as_demanding_are_skipped(void)
 {
     const struct cw_step_spec larger = {.tasks = 1, .accelerators = 8};
     const struct cw_step_spec smaller = {.tasks = 9, .accelerators = 1};
     struct site site;
 
     site_begin(&site);
-    fail(&site, add_job(&site, 1, &four));
+    add_failure(&site, add_job(&site, 1, &four));
     CU_ASSERT_TRUE(
-        hopeless(&site, add_job(&site, 1, &four), OWNER_ATTEMPT_PLACE));
+        is_skipped(&site, add_job(&site, 1, &four), OWNER_ATTEMPT_PLACE));
     CU_ASSERT_TRUE(
-        hopeless(&site, add_job(&site, 2, &larger), OWNER_ATTEMPT_PLACE));
+        is_skipped(&site, add_job(&site, 2, &larger), OWNER_ATTEMPT_PLACE));
     CU_ASSERT_FALSE(
-        hopeless(&site, add_job(&site, 1, &smaller), OWNER_ATTEMPT_PLACE));
+        is_skipped(&site, add_job(&site, 1, &smaller), OWNER_ATTEMPT_PLACE));
     CU_ASSERT_FALSE(
-        hopeless(&site, add_job(&site, 0, &four), OWNER_ATTEMPT_PLACE));
+        is_skipped(&site, add_job(&site, 0, &four), OWNER_ATTEMPT_PLACE));
     CU_ASSERT_FALSE(
-        hopeless(&site, add_job(&site, 1, &four), OWNER_ATTEMPT_PREEMPT));
+        is_skipped(&site, add_job(&site, 1, &four), OWNER_ATTEMPT_PREEMPT));
     site_end(&site);
 }
 
 static void
-test_a_gang_that_failed_says_nothing_of_smaller_ones(void)
+test_a_failed_gang_does_not_skip_smaller_gangs(void)
 {
     const struct cw_step_spec gang = {
         .tasks = 6, .accelerators = 4, .gang = true};
@@ -53,49 +56,49 @@
     struct site site;
 
     site_begin(&site);
-    fail(&site, add_job(&site, 1, &gang));
+    add_failure(&site, add_job(&site, 1, &gang));
     CU_ASSERT_FALSE(
-        hopeless(&site, add_job(&site, 1, &less), OWNER_ATTEMPT_PLACE));
+        is_skipped(&site, add_job(&site, 1, &less), OWNER_ATTEMPT_PLACE));
     CU_ASSERT_TRUE(
-        hopeless(&site, add_job(&site, 1, &more), OWNER_ATTEMPT_PLACE));
+        is_skipped(&site, add_job(&site, 1, &more), OWNER_ATTEMPT_PLACE));
     CU_ASSERT_FALSE(
-        hopeless(&site, add_job(&site, 1, &four), OWNER_ATTEMPT_PLACE));
+        is_skipped(&site, add_job(&site, 1, &four), OWNER_ATTEMPT_PLACE));
     site_end(&site);
 }
 
 static void
-test_room_that_came_free_makes_it_look_again(void)
+test_freed_capacity_clears_the_failures(void)
 {
     struct site site;
 
     site_begin(&site);
-    fail(&site, add_job(&site, 1, &four));
+    add_failure(&site, add_job(&site, 1, &four));
     site.owner->capacity_version++;
     CU_ASSERT_FALSE(
-        hopeless(&site, add_job(&site, 1, &four), OWNER_ATTEMPT_PLACE));
+        is_skipped(&site, add_job(&site, 1, &four), OWNER_ATTEMPT_PLACE));
     site_end(&site);
 }
 
 static void
-test_a_rack_kept_clear_is_looked_at(void)
+test_a_step_with_a_rack_reservation_is_not_skipped(void)
 {
     struct site site;
     struct owner_job *holder;
 
     site_begin(&site);
-    fail(&site, add_job(&site, 1, &four));
+    add_failure(&site, add_job(&site, 1, &four));
     holder = add_job(&site, 1, &four);
     step_of(holder)->rack_reservation_until =
         cw_time_add_ms(site.clock.now, 1);
-    CU_ASSERT_FALSE(hopeless(&site, holder, OWNER_ATTEMPT_PLACE));
+    CU_ASSERT_FALSE(is_skipped(&site, holder, OWNER_ATTEMPT_PLACE));
     site_end(&site);
 }
 
 static const struct test tests[] = {
-    {"as demanding", test_what_is_as_demanding_needs_no_look},
-    {"smaller gangs", test_a_gang_that_failed_says_nothing_of_smaller_ones},
-    {"room that came free", test_room_that_came_free_makes_it_look_again},
-    {"a rack kept clear", test_a_rack_kept_clear_is_looked_at},
+    {"as demanding", test_steps_that_are_as_demanding_are_skipped},
+    {"smaller gangs", test_a_failed_gang_does_not_skip_smaller_gangs},
+    {"freed capacity", test_freed_capacity_clears_the_failures},
+    {"rack reservation", test_a_step_with_a_rack_reservation_is_not_skipped},
 };
 
 TEST_MAIN("memo", tests)
--- a/tests/test_owner_log.c
+++ b/tests/test_owner_log.c
@@ -1,4 +1,5 @@
-/* Fenced appends, each until it is known to be stored. */
+/* Fenced appends of one writer: each is retried until it is known to be
+ * stored, and stored once. */
 #include "test_main.h"
 
 #include <string.h>
@@ -17,7 +18,7 @@
     unsigned stored;
     unsigned confirmed;
     const char *lost;
-    bool answers_lost; /* the store takes appends and does not say so */
+    bool answers_lost; /* the store accepts appends and does not answer */
 };
 
 static struct fixture *current;
@@ -109,7 +110,7 @@
     }
 }
 
-/* Another writer with this epoch. */
+/* Appends as another writer with this epoch. */
 static void
 fence(struct fixture *fixture, uint64_t epoch)
 {
@@ -120,7 +121,7 @@
 }
 
 static void
-test_a_log_opens_and_takes_batches_in_order(void)
+test_a_log_opens_and_stores_batches_in_order(void)
 {
     struct fixture fixture;
 
@@ -138,7 +139,7 @@
 }
 
 static void
-test_a_refused_batch_is_tried_until_it_is_stored(void)
+test_a_refused_batch_is_retried_until_it_is_stored(void)
 {
     struct fixture fixture;
 
@@ -175,7 +176,7 @@
 }
 
 static void
-test_a_writer_that_is_shut_out_says_so_and_writes_no_more(void)
+test_a_fenced_writer_reports_it_and_stops_writing(void)
 {
     struct fixture fixture;
 
@@ -204,7 +205,7 @@
 }
 
 static void
-test_a_closed_log_forgets_what_was_under_way(void)
+test_a_closed_log_abandons_the_batch_in_flight(void)
 {
     struct fixture fixture;
 
@@ -222,12 +223,12 @@
 }
 
 static const struct test tests[] = {
-    {"in order", test_a_log_opens_and_takes_batches_in_order},
-    {"refused", test_a_refused_batch_is_tried_until_it_is_stored},
+    {"in order", test_a_log_opens_and_stores_batches_in_order},
+    {"refused", test_a_refused_batch_is_retried_until_it_is_stored},
     {"no answer", test_a_batch_without_an_answer_is_stored_once},
-    {"shut out", test_a_writer_that_is_shut_out_says_so_and_writes_no_more},
+    {"fenced", test_a_fenced_writer_reports_it_and_stops_writing},
     {"lower epoch", test_a_lower_epoch_does_not_open},
-    {"closed", test_a_closed_log_forgets_what_was_under_way},
+    {"closed", test_a_closed_log_abandons_the_batch_in_flight},
 };
 
 TEST_MAIN("owner_log", tests)
--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -1,13 +1,14 @@
-/* What a VM makes of the two logs when it takes a shard over, and how one
- * makes way. */
+/* How a VM that takes a shard over combines the logs of jobs and of states,
+ * and how an owner yields. */
 #include "test_main.h"
 
 #include "owner_fixture.h"
 
-/* The pattern: 147 VMs that each read all that an owner writes use up the
- * store's bandwidth, and the owner's own reads wait behind theirs. */
+/* Guards against VMs that all read all states: 147 VMs that each read all that
+ * an owner writes use up the store's bandwidth, and delay the owner's reads.
+ */
 static void
-test_a_vm_that_does_not_decide_reads_no_states(void)
+test_a_vm_that_is_not_the_owner_reads_no_states(void)
 {
     struct fixture fixture;
 
@@ -21,9 +22,10 @@
     fixture_end(&fixture);
 }
 
-/* All VMs are told where a job stands in 52 bytes, however wide it is. */
+/* The outcome that all VMs read takes at most 52 bytes, however many tasks a
+ * job has. */
 static void
-test_what_all_vms_read_does_not_grow_with_the_job(void)
+test_an_outcome_does_not_grow_with_the_job(void)
 {
     struct site site;
     const struct cw_step_spec wide = {.tasks = 90, .accelerators = 1};
@@ -59,7 +61,7 @@
     fixture_end(&fixture);
 }
 
-/* An owner of version 0.1.0 left the state in the log that all VMs read. */
+/* An owner of version 0.1.0 wrote the state to the log that all VMs read. */
 static void
 test_a_state_of_an_older_version_is_taken_over(void)
 {
@@ -74,10 +76,10 @@
     fixture_end(&fixture);
 }
 
-/* The two logs are written side by side: the one that says that the job is
- * over may have got further. */
+/* The two logs are written concurrently: the outcome that says that the job is
+ * over may be stored while its last state is not. */
 static void
-test_a_job_that_is_told_over_stays_over(void)
+test_a_job_whose_outcome_is_over_stays_over(void)
 {
     struct fixture fixture;
     struct owner_job *job;
@@ -112,9 +114,10 @@
     fixture_end(&fixture);
 }
 
-/* ... or the one with the states, before its writer was lost. */
+/* The opposite case: the last state is stored, and its writer was lost before
+ * the outcome was. */
 static void
-test_an_end_that_was_not_told_is_told(void)
+test_an_end_that_was_not_published_is_published(void)
 {
     struct fixture fixture;
 
@@ -142,9 +145,10 @@
     fixture_end(&fixture);
 }
 
-/* Its job may run: neither is it begun anew, nor is what is known lost. */
+/* The state's job may run: the job must not be started anew, and the state
+ * must not be dropped. */
 static void
-test_a_state_that_cannot_be_read_is_kept(void)
+test_a_state_that_cannot_be_decoded_is_kept(void)
 {
     struct fixture fixture;
     GByteArray *bytes = g_byte_array_new();
@@ -162,11 +166,11 @@
     fixture_end(&fixture);
 }
 
-/* The pattern: a crowd of readers, or a thin link, lets the next owner come
- * nearer to the log's end and never reach it, while the present one has been
- * told to make way: nobody decides for the rest of the day. */
+/* Guards against a shard that stays without an owner.  With many readers or a
+ * slow link the next owner may never reach the end of a log that grows, while
+ * the present one is yielding to it. */
 static void
-test_reading_up_ends_though_the_log_grows_faster(void)
+test_a_takeover_ends_though_the_log_grows_faster(void)
 {
     struct fixture fixture;
 
@@ -181,14 +185,14 @@
     CU_ASSERT_EQUAL(fixture.owner->state, OWNER_READING);
     run(&fixture, 1000);
     CU_ASSERT_TRUE(fixture.owner->state >= OWNER_FENCING);
-    run(&fixture, 20000); /* to the end as it was then */
+    run(&fixture, 20000); /* to the end of the fenced log */
     CU_ASSERT_TRUE(cw_owner_active(fixture.owner));
     fixture_end(&fixture);
 }
 
-/* An owner that works goes only when the next one has shut it out. */
+/* An owner that is connected stops only when the next one has fenced it. */
 static void
-test_an_owner_that_is_to_make_way_decides_until_it_is_shut_out(void)
+test_a_yielding_owner_is_active_until_it_is_fenced(void)
 {
     struct fixture fixture;
     struct cw_store_append fence = {
@@ -198,7 +202,7 @@
     take_over(&fixture);
     CU_ASSERT_TRUE(cw_owner_active(fixture.owner));
     fixture.owner->yielding = true;
-    fixture.owner->join_in_flight = true; /* joins prove nothing any more */
+    fixture.owner->join_in_flight = true; /* no joins confirm ownership */
     run(&fixture, 10000);
     CU_ASSERT_TRUE(cw_owner_active(fixture.owner));
     CU_ASSERT_TRUE(owner_may_order(fixture.owner, fixture.clock.now));
@@ -208,9 +212,10 @@
     fixture_end(&fixture);
 }
 
-/* Without the store it cannot know, and stops deciding in time. */
+/* Without the store a yielding owner cannot know whether it was fenced, and
+ * stops before its last confirmation is too old. */
 static void
-test_an_owner_that_is_to_make_way_stops_without_the_store(void)
+test_a_yielding_owner_stops_without_the_store(void)
 {
     struct fixture fixture;
 
@@ -224,15 +229,15 @@
     fixture_end(&fixture);
 }
 
-/* What was seen: runs on workers that had left were given up 20 s and more
- * after the owner was lost, at the end of 12.6 s that each of several
- * take-overs in a row began anew.  How it came about: a new owner cannot know
- * how long an earlier one may still extend leases, and counts from when it
- * begins.  Cause: what the owner before it knew, that a worker is silent and
- * until when its lease lasts, went with it.  Proof: the run below stays for
- * 12.6 s from the second take-over, not from the first. */
+/* Guards against a wait for leases that each takeover starts anew.  A new
+ * owner does not know how long an earlier one may still extend leases, and
+ * waits 12.6 s from its takeover.  When it was replaced as well, its knowledge
+ * of unresponsive workers and their leases was lost, so that after several
+ * takeovers in a row runs on workers that had left were given up 20 s and more
+ * after the first owner was lost.  Without the rule the run below stays for
+ * 12.6 s from the second takeover instead of the first. */
 static void
-test_a_second_take_over_gives_up_by_the_bound_of_the_first(void)
+test_a_second_takeover_keeps_the_bound_of_the_first(void)
 {
     struct fixture fixture;
 
@@ -246,28 +251,26 @@
     take_over(&fixture);
     CU_ASSERT_TRUE(cw_owner_active(fixture.owner));
     run(&fixture, FIRST_BOUND_MS - 5000 - 400);
-    CU_ASSERT_EQUAL(the_job(&fixture)->runs, TASKS); /* its lease may last */
+    CU_ASSERT_EQUAL(the_job(&fixture)->runs, TASKS); /* the lease may last */
     run(&fixture, 1200);
     CU_ASSERT_EQUAL(the_job(&fixture)->runs, 0);
     fixture_end(&fixture);
 }
 
 static const struct test tests[] = {
-    {"reads no states", test_a_vm_that_does_not_decide_reads_no_states},
-    {"width", test_what_all_vms_read_does_not_grow_with_the_job},
+    {"reads no states", test_a_vm_that_is_not_the_owner_reads_no_states},
+    {"size of an outcome", test_an_outcome_does_not_grow_with_the_job},
     {"taken over", test_a_state_is_taken_over_with_its_runs},
     {"older version", test_a_state_of_an_older_version_is_taken_over},
-    {"told over", test_a_job_that_is_told_over_stays_over},
-    {"not told", test_an_end_that_was_not_told_is_told},
+    {"over stays over", test_a_job_whose_outcome_is_over_stays_over},
+    {"not published", test_an_end_that_was_not_published_is_published},
     {"without a job", test_a_state_without_a_job_is_dropped},
-    {"unreadable", test_a_state_that_cannot_be_read_is_kept},
-    {"an end of reading", test_reading_up_ends_though_the_log_grows_faster},
-    {"makes way",
-     test_an_owner_that_is_to_make_way_decides_until_it_is_shut_out},
-    {"makes way, no store",
-     test_an_owner_that_is_to_make_way_stops_without_the_store},
+    {"unreadable", test_a_state_that_cannot_be_decoded_is_kept},
+    {"growing log", test_a_takeover_ends_though_the_log_grows_faster},
+    {"yields", test_a_yielding_owner_is_active_until_it_is_fenced},
+    {"yields, no store", test_a_yielding_owner_stops_without_the_store},
     {"bound of the first",
-     test_a_second_take_over_gives_up_by_the_bound_of_the_first},
+     test_a_second_takeover_keeps_the_bound_of_the_first},
 };
 
 TEST_MAIN("takeover", tests)
