--- a/include/curlewcart/cw_cordons.h
+++ b/include/curlewcart/cw_cordons.h
@@ -1,7 +1,7 @@
-/* Cordons: orders of operators that nothing be started in a data centre until
- * they withdraw them.  What runs there goes on.
+/* Cordons: commands of operators that nothing may be started in a data centre
+ * until the cordon is withdrawn.  Runs that are there continue.
  *
- * An order is a record of a keyed topic of the store, which every VM follows;
+ * A cordon is a record of a keyed topic of the store, which every VM follows;
  * a record without a value withdraws it.  All functions are called with the
  * engine's lock held.
  */
@@ -30,32 +30,34 @@
 struct cw_cordons *cw_cordons_create(const struct cw_cordons_options *options);
 void cw_cordons_free(struct cw_cordons *cordons);
 
-/* The follower whose handler gives the three calls below.  Borrowed. */
+/* Sets the follower whose handler calls the three functions below.
+ * Borrowed. */
 void cw_cordons_set_follower(struct cw_cordons *cordons,
                              struct cw_follower *follower);
 
-/* For the follower's handler; `cordons` is a struct cw_cordons. */
+/* Callbacks for the follower's handler; `cordons` is a struct cw_cordons. */
 void cw_cordons_reset(void *cordons);
 void cw_cordons_loaded(void *cordons);
 void cw_cordons_record(void *cordons, const struct cw_store_record *record);
 
-/* For how long, in ms, this VM has known of a cordon of the data centre; -1 if
- * there is none. */
+/* Time, in ms, since this VM read of the data centre's cordon; -1 if there is
+ * no cordon. */
 int64_t cw_cordons_age_ms(const struct cw_cordons *cordons, const char *dc,
                           struct timespec now);
 
-/* True if work may be started there, as far as is known. */
+/* True if no cordon of the data centre is known, so that work may be started
+ * there. */
 bool cw_cordons_permits_dc(const struct cw_cordons *cordons, const char *dc);
 
-/* How many data centres are cordoned. */
+/* Number of data centres that are cordoned. */
 unsigned cw_cordons_count(const struct cw_cordons *cordons);
 
-/* For how long, in ms, orders may have been given that are not known here;
- * INT64_MAX before the first load. */
+/* Age of the information, in ms: a later change to a cordon may not have been
+ * read yet.  INT64_MAX before the first load. */
 int64_t
 cw_cordons_staleness_ms(const struct cw_cordons *cordons, struct timespec now);
 
-/* Reads at once what operators have ordered. */
+/* Makes the follower read as soon as possible. */
 void cw_cordons_read_now(struct cw_cordons *cordons);
 
 #endif
--- a/include/curlewcart/cw_entry.h
+++ b/include/curlewcart/cw_entry.h
@@ -1,4 +1,5 @@
-/* The way in: who may call, and what callers ask of jobs.
+/* The entry point for callers' requests: checks their credentials, stores the
+ * jobs and cancellations that they send, and answers queries about jobs.
  *
  * All functions are called with the engine's lock held.
  */
@@ -24,64 +25,72 @@
 struct cw_entry *cw_entry_create(const struct cw_entry_options *options);
 void cw_entry_free(struct cw_entry *entry);
 
-/* Another configuration is in force; takes a reference. */
+/* Puts a configuration into force; adds a reference to it. */
 void cw_entry_configure(struct cw_entry *entry, struct cw_routing *routing);
 
 /* The configuration in force, or NULL.  Borrowed. */
 struct cw_routing *cw_entry_routing(const struct cw_entry *entry);
 
-/* Where a call goes and for whom. */
+/* The queue, account and job that a request is for. */
 struct cw_entry_route {
     const struct cw_queue *queue;     /* borrowed from the configuration */
-    const struct cw_account *account; /* NULL on a queue that is open */
-    const char *id;                   /* rest of the path: "" the queue */
+    const struct cw_account *account; /* may be NULL if the queue is open */
+    const char *id;                   /* rest of the path: the job's id, or ""
+                                         for the queue itself */
 };
 
-/* CW_OK, CW_REF_NO_BUNDLE (no configuration yet), CW_E_NOT_FOUND (no such
- * queue) or CW_REF_TOKEN.  `key` may be NULL. */
+/* Finds the queue and the account of a request.  Returns CW_OK,
+ * CW_REF_NO_BUNDLE (no configuration yet), CW_E_NOT_FOUND (no such queue) or
+ * CW_REF_TOKEN (the queue needs a valid credential).  `host` and `key` may be
+ * NULL. */
 enum cw_result
 cw_entry_resolve(struct cw_entry *entry, const char *host, const char *path,
-                 const char *key, struct cw_entry_route *place);
+                 const char *key, struct cw_entry_route *route);
 
-/* What became of a call that changes something. */
+/* Outcome of a submission or cancellation. */
 enum cw_entry_outcome {
-    CW_ENTRY_STORED,      /* the store has it */
-    CW_ENTRY_NOT_DONE,    /* nothing was done, nothing will be */
-    CW_ENTRY_UNCONFIRMED, /* it may be stored; ask again with the same id */
+    CW_ENTRY_STORED,      /* the store has confirmed it */
+    CW_ENTRY_NOT_DONE,    /* it is not stored and will not be */
+    CW_ENTRY_UNCONFIRMED, /* it may be stored; send it again with the same id
+                           */
     CW_ENTRY_NO_JOB,      /* a cancellation: no such job, or it has ended */
     CW_ENTRY_OTHER_JOB,   /* the id belongs to another job */
 };
 
+/* Receives the outcome of a change. */
 typedef void (*cw_entry_done)(void *context, enum cw_entry_outcome outcome);
 
-/* Stores a job.  Takes `spec` over (g_free and xdr_free).  The answer is
- * given within `budget_ms`. */
+/* Stores a job.  Takes ownership of `spec` (freed by xdr_free and g_free).
+ * `done` is called within `budget_ms`. */
 void cw_entry_submit(struct cw_entry *entry, struct cw_work_spec *spec,
                      unsigned budget_ms, cw_entry_done done, void *context);
 
-/* Stores that a job is cancelled. */
+/* Stores the cancellation of a job.  `done` is called within `budget_ms`. */
 void
-cw_entry_cancel(struct cw_entry *entry, const struct cw_entry_route *place,
+cw_entry_cancel(struct cw_entry *entry, const struct cw_entry_route *route,
                 unsigned budget_ms, cw_entry_done done, void *context);
 
-/* Where a job stands: CW_OK, CW_E_NOT_FOUND, or CW_REF_NO_LEDGER if this VM
- * cannot tell: it has not read the store lately and does not know the job,
- * or it is cut off and the job was not over. */
+/* Gets the phase of a job as known here: CW_OK, CW_E_NOT_FOUND, or
+ * CW_REF_NO_LEDGER if this VM does not know: it has not read the store lately
+ * and does not know the job, or it is isolated and the job had not ended. */
 enum cw_result
-cw_entry_query(struct cw_entry *entry, const struct cw_entry_route *place,
+cw_entry_query(struct cw_entry *entry, const struct cw_entry_route *route,
                unsigned *phase);
 
+/* Receives the result of cw_entry_query_fresh. */
 typedef void (*cw_entry_answered)(void *context, enum cw_result result,
                                   unsigned phase);
 
-/* The same for callers that ask again and again: looks at the store first if
- * it may have something newer, and answers after 400 ms at the latest.  So
- * VMs need not read all the time to tell of an end at once. */
+/* Like cw_entry_query, but first reads from the store if records may have been
+ * appended that are not known here; answers after 400 ms at the latest.  It
+ * serves callers that poll: VMs need not read continuously to report the end
+ * of a job at once. */
 void cw_entry_query_fresh(struct cw_entry *entry,
-                          const struct cw_entry_route *place,
-                          cw_entry_answered told, void *context);
+                          const struct cw_entry_route *route,
+                          cw_entry_answered on_answer, void *context);
 
-/* Jobs of the queue that have not begun: CW_OK or CW_REF_NO_LEDGER. */
+/* Counts the jobs of the queue that have not begun.  Returns CW_OK, or
+ * CW_REF_NO_LEDGER if this VM has not read the store lately. */
 enum cw_result
 cw_entry_count_waiting(struct cw_entry *entry, const struct cw_queue *queue,
                        unsigned *count);
@@ -89,19 +98,20 @@
 /* True if callers should be sent here. */
 bool cw_entry_is_ready(struct cw_entry *entry);
 
-/* Whether this VM is cut off from the store and all other VMs: changes are
- * then given up on at once, and questions not answered from memory, so that
- * callers turn to another VM. */
+/* Sets whether this VM is isolated from the store and the other VMs.  While it
+ * is, changes fail at once and queries about jobs that have not ended are not
+ * answered from memory, so that callers go to another VM. */
 void cw_entry_set_isolated(struct cw_entry *entry, bool isolated);
 
-/* No new connections are wanted; what is held goes on. */
+/* This VM is leaving: it is not ready any more, but completes the requests
+ * that it has. */
 void cw_entry_leave(struct cw_entry *entry);
 bool cw_entry_is_leaving(const struct cw_entry *entry);
 
-/* Calls not answered yet. */
+/* Number of requests that are not answered yet. */
 unsigned cw_entry_pending(const struct cw_entry *entry);
 
-/* Sends again what is due; returns when it wants to be called next. */
+/* Retries and answers what is due; returns the time of the next call. */
 struct timespec cw_entry_tick(struct cw_entry *entry, struct timespec now);
 
 #endif
--- a/include/curlewcart/cw_follower.h
+++ b/include/curlewcart/cw_follower.h
@@ -1,8 +1,9 @@
 /* Follows one keyed partition of the store: loads the newest record of each
- * key, then reads what is appended, and loads anew if history was dropped.
+ * key, then reads what is appended, and loads again if the store no longer
+ * retains the records that follow.
  *
  * All functions are called with the engine's lock held.  A record may be
- * given more than once; its offset tells.
+ * delivered more than once; compare its offset.
  */
 #ifndef CURLEWCART_CW_FOLLOWER_H
 #define CURLEWCART_CW_FOLLOWER_H
@@ -14,14 +15,14 @@
 #include "curlewcart/cw_store.h"
 #include "curlewcart/cw_time.h"
 
-/* Who hears of records.  Any member may be NULL. */
+/* Callbacks of a follower; all but `record` may be NULL. */
 struct cw_follower_handler {
-    /* All keys are about to be given again. */
+    /* A load begins: all keys will be delivered again. */
     void (*reset)(void *context);
-    /* The newest record of each key was given since the reset. */
+    /* The load is complete: the newest record of each key was delivered. */
     void (*loaded)(void *context);
     void (*record)(void *context, const struct cw_store_record *record);
-    /* A read was answered and its records were given. */
+    /* A read was answered and its records were delivered. */
     void (*advanced)(void *context);
     void *context;
 };
@@ -32,47 +33,50 @@
     struct cw_clock *clock;
     const char *topic; /* borrowed, static */
     unsigned partition;
-    unsigned wait_ms; /* how long a read waits at the store; 0: it polls */
-    unsigned read_interval_ms; /* least time from an answer to the next read */
+    unsigned wait_ms; /* how long a read waits at the store; 0: not at all */
+    unsigned read_interval_ms; /* minimum, from an answer to the next read */
     struct cw_follower_handler handler;
 };
 
 struct cw_follower;
 
+/* Creates a follower; it sends its first call at the first tick. */
 struct cw_follower *
 cw_follower_create(const struct cw_follower_options *options);
 
-/* Frees it once no call is under way; no handler is called any more. */
+/* Calls no handler any more; the memory is freed once no call is in flight. */
 void cw_follower_free(struct cw_follower *follower);
 
-/* Begins or goes on; call when cw_follower_due has passed. */
+/* Sends the next call if it is due and none is in flight. */
 void cw_follower_tick(struct cw_follower *follower, struct timespec now);
 
-/* When it wants its next tick. */
+/* Time of the next tick. */
 struct timespec cw_follower_due(const struct cw_follower *follower);
 
-/* True once every key was loaded. */
+/* True once the first load is complete. */
 bool cw_follower_loaded(const struct cw_follower *follower);
 
-/* Next offset that it will read. */
+/* Offset that the next read starts at. */
 uint64_t cw_follower_position(const struct cw_follower *follower);
 
-/* When the newest read that reached the end was sent: what was appended
- * before it is known here. */
+/* When the latest read that reached the end of the partition was sent: all
+ * records appended before that time were delivered. */
 struct timespec cw_follower_fresh_as_of(const struct cw_follower *follower);
 
-/* True if the last answer reached the end of the partition: what it lacks
- * was appended since, or is about to be told by a read that waits. */
+/* True if the last answer reached the end of the partition: records that are
+ * still missing were appended after it. */
 bool cw_follower_at_end(const struct cw_follower *follower);
 
-/* True if nothing was appended that is not known here, as far as the store
- * has told: it holds a read that waits for the next record. */
+/* True if the last answer reached the end of the partition and the read in
+ * flight waits at the store for the next record: as far as this VM can know,
+ * no record is missing. */
 bool cw_follower_is_current(const struct cw_follower *follower);
 
+/* Changes the minimum time from an answer to the next read. */
 void cw_follower_set_read_interval(struct cw_follower *follower,
                                    unsigned read_interval_ms);
 
-/* Reads at once, without waiting for records. */
+/* Sends the next read as soon as possible, without a wait for records. */
 void cw_follower_read_now(struct cw_follower *follower);
 
 #endif
--- a/include/curlewcart/cw_load_gate.h
+++ b/include/curlewcart/cw_load_gate.h
@@ -1,12 +1,13 @@
-/* When a VM that starts reads the log of jobs.
+/* Delays the first read of the log of jobs on a VM that starts.
  *
- * VMs that start together all read the configuration and the log at once
- * (a thundering herd), and share the store's bandwidth for reads: with
- * hundreds of VMs that takes seconds, and the few that can take over wait in
- * the same queue.  The time that the configuration took estimates its length.
- * A VM with less than a core delays its reads by up to twice that time, which
- * is milliseconds where few VMs start; one that is too weak to decide, where
- * many start, by about as long as a take-over takes.
+ * VMs that start together all read the configuration and the log at once (a
+ * thundering herd) and share the store's bandwidth for reads.  With hundreds
+ * of VMs the reads take seconds, and the few VMs that are strong enough to
+ * own the shard wait in the same queue.  The time in which the configuration
+ * arrived is an estimate of the queue's length.  A VM with less than a full
+ * core delays its reads by up to twice that time, which is milliseconds if
+ * few VMs start.  If many start, a VM that is too weak to own the shard
+ * delays its reads by about the duration of a take-over.
  *
  * Pure: no I/O and no clock of its own.
  */
@@ -16,26 +17,27 @@
 #include <stdbool.h>
 #include <time.h>
 
-/* Of one VM; cw_load_gate_init. */
+/* State of one VM; initialise with cw_load_gate_init. */
 struct cw_load_gate {
-    struct timespec began;
-    struct timespec due; /* when it opens, as far as known */
+    struct timespec started_at;
+    struct timespec due; /* when it opens, unless a configuration arrives */
     unsigned capacity_milli;
-    bool timed; /* the configuration has arrived */
+    bool config_arrived;
     bool open;
 };
 
-/* `capacity_milli`: the VM's processor, in thousandths of a core; 0 unknown,
- * which counts as a whole one. */
+/* `capacity_milli` is the VM's processor in thousandths of a core; 0 means
+ * unknown and counts as a full core. */
 void cw_load_gate_init(struct cw_load_gate *gate, unsigned capacity_milli,
                        struct timespec now);
 
-/* True if the log may be read; `configured`: a configuration has arrived.
- * Stays true once it was. */
+/* True if the log may be read, and from then on.  `configured` is true once a
+ * configuration has arrived. */
 bool cw_load_gate_is_open(struct cw_load_gate *gate, bool configured,
                           struct timespec now);
 
-/* When it is to be asked again, as far as known. */
+/* When to call cw_load_gate_is_open again; earlier if a configuration
+ * arrives. */
 struct timespec cw_load_gate_due(const struct cw_load_gate *gate);
 
 #endif
--- a/include/curlewcart/cw_relay.h
+++ b/include/curlewcart/cw_relay.h
@@ -1,15 +1,18 @@
-/* A store that goes through other VMs when this one is turned away.
+/* A store whose calls go through other VMs while this VM cannot reach the
+ * platform's store.
  *
- * The platform's store may serve some VMs and not others.  A relay is a
- * store itself: calls go straight to the platform's while that works, and
- * otherwise through a VM that still reaches it, by ONC RPC over UDP (program
- * CW_RELAY_PROGRAM of cw_proto.x).  A call keeps its meaning: what may have
- * been done anywhere along the way is reported as such.
+ * The platform's store may serve some VMs and not others.  A relay implements
+ * struct cw_store: it sends calls directly to the platform's store while that
+ * works, and otherwise through a VM that can reach the store, by ONC RPC over
+ * UDP (program CW_RELAY_PROGRAM of cw_proto.x).  Results keep their meaning: a
+ * call that may have been carried out by any VM on its way never ends with
+ * CW_STORE_REFUSED.
  *
- * Messages are sealed with a key that the VMs keep in the store: whoever can
- * reach a VM's inner port but not the store can neither read nor write.
+ * Messages are authenticated with a key that the VMs keep in the store.
+ * Anyone who can reach a VM's inner port, but not the store, can neither read
+ * from the store nor write to it through that VM.
  *
- * All functions are called with the engine's lock held, but for
+ * All functions are called with the engine's lock held, except for
  * cw_relay_receive, which takes it.
  */
 #ifndef CURLEWCART_CW_RELAY_H
@@ -29,7 +32,7 @@
     struct cw_counters *counters;
     pthread_mutex_t *engine_lock;
     const char *address; /* HOST:PORT to listen on */
-    const char *group;   /* whose members are the VMs */
+    const char *group;   /* the group whose members are the VMs */
 };
 
 struct cw_relay;
@@ -38,27 +41,29 @@
 struct cw_relay *cw_relay_create(const struct cw_relay_options *options);
 void cw_relay_free(struct cw_relay *relay);
 
-/* The store to use. */
+/* The relay as a store.  Borrowed. */
 struct cw_store *cw_relay_store(struct cw_relay *relay);
 
-/* HOST:PORT that it listens on; a port given as 0 was chosen by the kernel.
- * Borrowed. */
+/* HOST:PORT that it listens on, with the port that the kernel chose if it was
+ * given as 0.  Borrowed. */
 const char *cw_relay_address(const struct cw_relay *relay);
 
-/* Descriptor that becomes readable when messages have come. */
+/* Descriptor that is readable when messages have arrived. */
 int cw_relay_descriptor(const struct cw_relay *relay);
 
-/* Takes what has come. */
+/* Receives and processes the messages that have arrived. */
 void cw_relay_receive(struct cw_relay *relay);
 
-/* Does what is due; returns when it wants to be called next. */
+/* Does what is due; returns the time of the next call. */
 struct timespec cw_relay_tick(struct cw_relay *relay, struct timespec now);
 
-/* Name of a member of the group that tells where its VM listens.  Owned by
- * the caller. */
-char *cw_relay_member_name(const char *vm, const char *address, uint64_t life);
+/* Name of a VM as a member of the group, which contains the address that it
+ * listens on.  Owned by the caller. */
+char *cw_relay_member_name(const char *vm, const char *address,
+                           uint64_t incarnation);
 
-/* True if neither the store nor another VM has answered lately. */
+/* True if the store does not answer and fewer than half of the other VMs that
+ * were pinged have answered lately. */
 bool cw_relay_is_isolated(const struct cw_relay *relay);
 
 #endif
--- a/include/curlewcart/cw_replica.h
+++ b/include/curlewcart/cw_replica.h
@@ -1,15 +1,16 @@
-/* Every VM's copy of the jobs that the store holds, folded from its log.
+/* A VM's copy of all jobs of a shard, built from the shard's log of jobs.
  *
- * Beside jobs the log holds what VMs tell each other: their processors, that
- * an owner is there, which workers' leases it extends no more, under which
- * epoch a VM decided and whether it has ended, and which ends a former owner
- * saw and could not store.
+ * Besides jobs the log holds records that VMs write for each other: the
+ * processor of a VM, an owner's heartbeats, lease notes (workers whose leases
+ * the owner no longer extends), the epochs under which a VM was the owner and
+ * their ends, and hints (ends of runs that a former owner received and could
+ * not store).
  *
- * Three kinds of records make a job: its specification (any VM), a mark that
- * it was cancelled (any VM), and where it stands (the owner of the shard,
- * fenced).  Their order in the log decides: a cancellation counts if it stands
- * before the record that ends the job.  What else an owner has to keep of a
- * job goes into a log of its own (CW_STATE_TOPIC).
+ * Three kinds of records make up a job: its specification (written by any VM),
+ * a cancellation (by any VM) and its state (by the owner of the shard, with
+ * fencing).  Their order in the log counts: a cancellation takes effect if it
+ * comes before the record that ends the job.  What else an owner has to store
+ * about a job goes into another log (CW_STATE_TOPIC).
  */
 #ifndef CURLEWCART_CW_REPLICA_H
 #define CURLEWCART_CW_REPLICA_H
@@ -21,82 +22,86 @@
 #include "curlewcart/cw_follower.h"
 #include "curlewcart/cw_work.h"
 
-/* The topic that jobs are kept in; a shard is one partition of it. */
+/* The topic of the log of jobs; a shard is one partition of it. */
 #define CW_JOBS_TOPIC "keyed.jobs"
 
-/* Least time between two reads of it: an owner starts work soon; a standby
- * that holds callers until their work is over tells them within a fifth of a
- * second; one whose callers ask looks when they do (cw_entry_query_fresh), and
- * reads in between only so that it can take over. */
+/* Minimum time between two reads of the log of jobs: on the owner, so that
+ * jobs start soon; on a standby whose callers wait until their jobs have
+ * ended, so that they are answered within 200 ms; on a standby whose callers
+ * query it, which reads at once when queried (cw_entry_query_fresh) and
+ * otherwise reads only to be able to take over. */
 #define CW_OWNER_READ_INTERVAL_MS 5
 #define CW_STANDBY_READ_INTERVAL_MS 150
 #define CW_ON_DEMAND_READ_INTERVAL_MS 500
 
-/* What is known of a job. */
+/* A job as far as its records were read. */
 struct cw_replica_job {
     char *id;
-    struct cw_work_spec *spec; /* NULL while only other records are known */
-    GBytes *record;            /* struct cw_work_record without its tasks,
-                                  encoded; or NULL */
-    unsigned recorded_phase;   /* of `record` */
-    bool started;              /* of `record` */
-    int64_t ended_ms;          /* of `record`: wall time of its end, or 0 */
+    struct cw_work_spec *spec; /* NULL while only other records were read */
+    GBytes *record;            /* its state: struct cw_work_record without
+                                  its tasks, encoded; or NULL */
+    unsigned recorded_phase;   /* from `record` */
+    bool started;              /* from `record` */
+    int64_t ended_ms;          /* from `record`: wall time of the end, or 0 */
     bool cancelled;
     uint64_t spec_offset;
     uint64_t record_offset;
-    uint64_t cancel_offset; /* of the earliest attempt */
-    GPtrArray *cancel_keys; /* char *, of all attempts */
+    uint64_t cancel_offset; /* of the earliest attempt to cancel */
+    GPtrArray *cancel_keys; /* char *, of all attempts to cancel */
     GPtrArray *hints;       /* struct cw_hint_record */
-    GPtrArray *hint_keys;   /* char *, of these */
+    GPtrArray *hint_keys;   /* char *, of `hints` */
 };
 
-/* A worker whose lease the owner that wrote so extends no more, and none after
- * it, until the note is dropped.  Reading is later than writing: the lease is
- * over `left_ms` after `read_at`, on this VM's clock. */
+/* A worker whose lease neither the owner that wrote the note nor a later one
+ * extends until the note is dropped.  `read_at` is later than the time of
+ * writing, so that the lease has expired `left_ms` after `read_at`, on this
+ * VM's clock. */
 struct cw_replica_lease_note {
     uint64_t offset;
     struct timespec read_at;
     unsigned left_ms;
 };
 
-/* The last epoch under which a VM decided, and what it has said of its end. */
+/* The last epoch under which a VM was the owner, and the last epoch whose end
+ * it has recorded. */
 struct cw_replica_epoch {
     uint64_t epoch;         /* 0: none is known */
-    unsigned lease_ms;      /* the longest that it gave, of a worker's clock */
-    uint64_t settled_below; /* leases given under epochs below it are over */
+    unsigned lease_ms;      /* longest lease it gave, on a worker's clock */
+    uint64_t settled_below; /* leases given under epochs below have expired */
     uint64_t offset;
-    uint64_t end_epoch;          /* 0: none has ended; else it extends no
-                                    lease given under it or an earlier one */
+    uint64_t end_epoch;          /* the VM no longer extends leases given under
+                                    this epoch or an earlier one; 0: none */
     struct timespec end_read_at; /* on this VM's clock */
-    unsigned left_ms;            /* all of those are over so long after */
-    GHashTable *sooner;          /* worker -> ms: its own is over before */
+    unsigned left_ms;            /* after `end_read_at` they have expired */
+    GHashTable *sooner;          /* worker -> ms: leases that expire before */
     uint64_t end_offset;
 };
 
-/* True if the VM has said so of the last epoch under which it decided. */
+/* True if the VM has recorded the end of the last epoch under which it was the
+ * owner. */
 bool cw_replica_epoch_has_ended(const struct cw_replica_epoch *epoch);
 
-/* How long after `end_read_at` the worker's lease may last, if that VM gave
- * it; NULL: any worker's. */
+/* Upper limit of the time from `end_read_at` to the expiry of the worker's
+ * lease, if that VM gave it; with `worker` NULL, of any worker's lease. */
 int64_t cw_replica_epoch_lease_left_ms(const struct cw_replica_epoch *epoch,
                                        const char *worker);
 
-/* Who hears of changes; members may be NULL. */
+/* Callbacks of a replica; any may be NULL. */
 struct cw_replica_listener {
     /* A job's specification or cancellation was read. */
     void (*job_changed)(void *context, struct cw_replica_job *job);
-    /* A former owner tells ends of the job that it could not store. */
+    /* A hint was read: ends of runs that a former owner could not store. */
     void (*hint_received)(void *context, const struct cw_replica_job *job,
                           const struct cw_hint_record *hint);
-    /* A read was answered: everything up to the position is folded. */
+    /* A read was answered: all records before the position were applied. */
     void (*advanced)(void *context);
     /* A VM has announced its processor, in thousandths of a core. */
     void (*vm_announced)(void *context, const char *vm,
                          unsigned capacity_milli);
-    /* A VM began to decide under an epoch, or tells that it has ended. */
+    /* A VM became the owner under an epoch, or recorded the epoch's end. */
     void (*epoch_began)(void *context, uint64_t epoch);
     void (*epoch_ended)(void *context, const char *vm);
-    /* A record of an owner was read. */
+    /* A record written by an owner was read. */
     void (*owner_record_received)(void *context);
     void *context;
 };
@@ -110,11 +115,15 @@
 
 struct cw_replica;
 
+/* Creates a replica; drive it by ticks of its follower. */
 struct cw_replica *cw_replica_create(const struct cw_replica_options *options);
 void cw_replica_free(struct cw_replica *replica);
+
+/* Sets the callbacks; copies `listener`. */
 void cw_replica_set_listener(struct cw_replica *replica,
                              const struct cw_replica_listener *listener);
 
+/* The follower of the log of jobs.  Borrowed. */
 struct cw_follower *cw_replica_follower(struct cw_replica *replica);
 
 /* A job by id, or NULL.  Borrowed until its records are dropped. */
@@ -124,21 +133,21 @@
 /* All jobs: id -> struct cw_replica_job.  Borrowed. */
 GHashTable *cw_replica_jobs(const struct cw_replica *replica);
 
-/* All notes: worker -> struct cw_replica_lease_note.  Borrowed. */
+/* All lease notes: worker -> struct cw_replica_lease_note.  Borrowed. */
 GHashTable *cw_replica_lease_notes(const struct cw_replica *replica);
 
 /* All epochs: VM -> struct cw_replica_epoch.  Borrowed. */
 GHashTable *cw_replica_epochs(const struct cw_replica *replica);
 
-/* Where the job stands in log order (enum cw_work_phase). */
+/* The job's phase by the order of its records (enum cw_work_phase). */
 unsigned cw_replica_phase(const struct cw_replica_job *job);
 
-/* Folds a record; also called for what this VM appended itself. */
+/* Applies a record; also called for records that this VM has appended. */
 void cw_replica_apply(struct cw_replica *replica,
                       const struct cw_store_record *record);
 
-/* Jobs of which no task has been started, of a queue and an account; NULL:
- * of any. */
+/* Number of jobs of a queue and an account (NULL: of any) none of whose tasks
+ * has been started. */
 unsigned cw_replica_count_waiting(const struct cw_replica *replica,
                                   const char *queue, const char *account);
 
--- a/include/curlewcart/cw_store.h
+++ b/include/curlewcart/cw_store.h
@@ -1,8 +1,9 @@
-/* The platform's store as the product sees it: logs with offsets, the newest
- * record of each key, fenced writers, and groups that share out partitions.
+/* Interface to the platform's store: partitioned logs with offsets, reads of
+ * the newest record of each key, fenced writers, and groups that assign
+ * partitions to their members.
  *
  * Calls never block.  Each leads to exactly one callback, made with the
- * engine's lock held (see cw_vm.h).  What a callback is given is borrowed.
+ * engine's lock held (see cw_vm.h).  What a callback receives is borrowed.
  */
 #ifndef CURLEWCART_CW_STORE_H
 #define CURLEWCART_CW_STORE_H
@@ -13,20 +14,19 @@
 
 enum cw_store_status {
     CW_STORE_OK,
-    CW_STORE_REFUSED,  /* nothing was done: busy, over a rate, unreachable */
-    CW_STORE_UNKNOWN,  /* no answer: may have been done, or be done later */
-    CW_STORE_CONFLICT, /* the partition does not end where expected */
-    CW_STORE_FENCED,   /* a writer with a higher epoch was seen */
-    CW_STORE_OUT_OF_SEQUENCE, /* the writer's sequence number does not follow
-                               */
-    CW_STORE_EXPIRED, /* the records asked for are no longer retained */
-    CW_STORE_INVALID  /* the answer could not be understood */
+    CW_STORE_REFUSED,  /* not carried out: busy, over a rate, unreachable */
+    CW_STORE_UNKNOWN,  /* no answer: carried out, perhaps later, or not */
+    CW_STORE_CONFLICT, /* the partition does not end at `expected_end` */
+    CW_STORE_FENCED,   /* a writer with a higher epoch has appended */
+    CW_STORE_OUT_OF_SEQUENCE, /* not the writer's next sequence number */
+    CW_STORE_EXPIRED, /* the requested records are no longer retained */
+    CW_STORE_INVALID  /* the answer could not be decoded */
 };
 
 /* Name of a status, for logs.  Borrowed, static. */
 const char *cw_store_status_name(enum cw_store_status status);
 
-/* One keyed record.  `value` NULL: the key is dropped. */
+/* One keyed record.  A NULL `value` deletes the key. */
 struct cw_store_record {
     const char *key;
     const void *value;
@@ -34,6 +34,7 @@
     uint64_t offset; /* not used when appending */
 };
 
+/* Result of an append. */
 struct cw_store_append_result {
     enum cw_store_status status;
     uint64_t first; /* offset of the first record; with CW_STORE_OK */
@@ -41,41 +42,46 @@
     uint64_t expected_sequence; /* with CW_STORE_OUT_OF_SEQUENCE */
 };
 
+/* Appends records to a partition. */
 struct cw_store_append {
     const char *topic;
     unsigned partition;
     const struct cw_store_record *records; /* copied */
     size_t count;                          /* 0: only sets the epoch */
-    const char *writer;                    /* NULL: not fenced */
+    const char *writer;                    /* NULL: without fencing */
     uint64_t epoch;
     uint64_t sequence;
-    bool conditional; /* only if the partition ends at `expected_end` */
+    bool conditional; /* append only if the partition ends at `expected_end` */
     uint64_t expected_end;
     unsigned timeout_ms;
     void (*done)(void *context, const struct cw_store_append_result *result);
     void *context;
 };
 
+/* Result of a read. */
 struct cw_store_page {
     enum cw_store_status status;
     uint64_t end;   /* next offset of the partition */
     uint64_t first; /* oldest offset retained */
     const struct cw_store_record *records;
     size_t count;
-    bool more; /* of cw_store_read_newest: continue after the last key */
+    bool more; /* with cw_store_read_newest: there are keys after the last one
+                */
 };
 
+/* Reads the records of a partition from an offset on. */
 struct cw_store_read {
     const char *topic;
     unsigned partition;
     uint64_t from;
-    unsigned wait_ms; /* the answer waits so long for a record */
-    unsigned most_kb; /* of records in the answer; 0: the store decides */
+    unsigned wait_ms; /* the store waits up to this long for a record */
+    unsigned most_kb; /* limit of the records in the answer; 0: the store's */
     unsigned timeout_ms;
     void (*done)(void *context, const struct cw_store_page *page);
     void *context;
 };
 
+/* Reads the newest record of each key of a partition, page by page. */
 struct cw_store_read_newest {
     const char *topic;
     unsigned partition;
@@ -85,13 +91,15 @@
     void *context;
 };
 
+/* Result of a join. */
 struct cw_store_join_result {
     enum cw_store_status status;
     uint64_t generation;
-    const unsigned *partitions; /* of the topic, held by this member */
+    const unsigned *partitions; /* of the topic, assigned to this member */
     size_t count;
 };
 
+/* Joins a group, or renews the membership. */
 struct cw_store_join {
     const char *group;
     const char *member;
@@ -103,6 +111,7 @@
     void *context;
 };
 
+/* Leaves a group. */
 struct cw_store_leave {
     const char *group;
     const char *member;
@@ -111,13 +120,14 @@
     void *context;
 };
 
-/* Who holds the partitions of a group. */
+/* Members that the partitions of a group are assigned to. */
 struct cw_store_member_list {
     enum cw_store_status status;
     const char *const *members; /* may repeat */
     size_t count;
 };
 
+/* Lists the members of a group. */
 struct cw_store_list_members {
     const char *group;
     unsigned timeout_ms;
@@ -126,6 +136,8 @@
 };
 
 struct cw_store;
+
+/* Operations of a store. */
 struct cw_store_ops {
     void (*append)(struct cw_store *store, const struct cw_store_append *call);
     void (*read)(struct cw_store *store, const struct cw_store_read *call);
@@ -137,7 +149,7 @@
                     const struct cw_store_list_members *call);
 };
 
-/* A store.  Embed as the first member of an implementation. */
+/* A store; an implementation embeds it as its first member. */
 struct cw_store {
     const struct cw_store_ops *ops;
 };
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -1,4 +1,5 @@
-/* Calls of callers: admission, and changes until the store has them. */
+/* Callers' requests: access checks, changes until the store has confirmed
+ * them, and queries. */
 #include "curlewcart/cw_entry.h"
 
 #include <inttypes.h>
@@ -8,61 +9,61 @@
 #include "curlewcart/cw_xdr.h"
 
 enum {
-    /* What was read longer ago no longer tells that a job does not exist,
-     * nor how many wait; callers accept 2 s. */
-    FRESH_MS = 2000,
-    /* Not read for so long: another VM serves callers better. */
-    READY_MS = 2500,
+    /* With older data this VM reports neither that a job does not exist nor
+     * how many jobs wait; callers accept data that is 2 s old. */
+    FRESH_MAX_AGE_MS = 2000,
+    /* With older data this VM is not ready: callers go to another one. */
+    READY_MAX_AGE_MS = 2500,
     APPEND_TIMEOUT_MS = 700,
-    RETRY_FIRST_MS = 60,
-    RETRY_MOST_MS = 400,
+    RETRY_MIN_MS = 60,
+    RETRY_MAX_MS = 400,
     PENDING_MAX = 2000,
-    /* A read takes about 5 ms, and a quarter second while the store is slow;
-     * while it is away a caller is told what is known here after so long. */
-    LOOK_MOST_MS = 400
+    /* A read takes about 5 ms, and 250 ms while the store is slow.  If it
+     * takes longer than this, a query is answered with what is known here. */
+    QUERY_WAIT_MAX_MS = 400
 };
 
-/* A change on its way into the store. */
+/* A submission or cancellation that is being stored. */
 struct change {
     struct cw_entry *entry;
     enum cw_work_key kind;
     char *id;
     GByteArray *value;
     char *queue;
-    char *account; /* that may cancel; NULL: the queue is open */
+    char *account; /* of a cancellation; NULL: any, as the queue is open */
     cw_entry_done done;
     void *context;
     struct timespec began;
-    struct timespec give_up;
+    struct timespec deadline;
     struct timespec due;
     unsigned tries;
     unsigned retry_ms;
     bool in_flight;
-    bool answered; /* its caller was; an append is still under way */
+    bool answered; /* the caller was answered, an append is in flight */
     bool unsure;   /* an append had no answer: it may be stored */
-    bool stored;   /* in the log at `stored_at`; a cancellation then
-                      waits until the replica has read so far */
-    uint64_t stored_at;
-    bool look_first; /* waits until the replica has read on */
-    struct timespec look_since;
-    enum cw_store_status last;
+    bool stored;   /* in the log at `stored_offset`; a cancellation then
+                      waits until the replica has read up to there */
+    uint64_t stored_offset;
+    bool awaits_read; /* the job is unknown until the replica has read on */
+    struct timespec awaits_read_since;
+    enum cw_store_status last_status;
 };
 
-/* A question that waits for a look at the store. */
-struct question {
+/* A query that waits for a read of the store. */
+struct query {
     char *id;
     char *queue;
     char *account; /* NULL: of any */
-    cw_entry_answered told;
+    cw_entry_answered on_answer;
     void *context;
-    struct timespec since;
+    struct timespec asked_at;
 };
 
 struct cw_entry {
     struct cw_entry_options options;
     struct cw_routing *routing;
-    GPtrArray *changes;   /* struct change */
-    GPtrArray *questions; /* struct question */
+    GPtrArray *changes; /* struct change */
+    GPtrArray *queries; /* struct query */
     bool leaving;
     bool isolated;
 };
@@ -78,14 +79,14 @@
 }
 
 static void
-question_free(gpointer data)
+query_free(gpointer data)
 {
-    struct question *question = data;
+    struct query *query = data;
 
-    g_free(question->id);
-    g_free(question->queue);
-    g_free(question->account);
-    g_free(question);
+    g_free(query->id);
+    g_free(query->queue);
+    g_free(query->account);
+    g_free(query);
 }
 
 struct cw_entry *
@@ -95,7 +96,7 @@
 
     entry->options = *options;
     entry->changes = g_ptr_array_new();
-    entry->questions = g_ptr_array_new_with_free_func(question_free);
+    entry->queries = g_ptr_array_new_with_free_func(query_free);
     return entry;
 }
 
@@ -103,12 +104,12 @@
 cw_entry_free(struct cw_entry *entry)
 {
     if (entry != NULL) {
-        /* No answer: the callers' connections end with the process. */
+        /* Callers get no answer: their connections end with the process. */
         for (guint i = 0; i < entry->changes->len; i++) {
             change_free(entry->changes->pdata[i]);
         }
         g_ptr_array_unref(entry->changes);
-        g_ptr_array_unref(entry->questions);
+        g_ptr_array_unref(entry->queries);
         cw_routing_unref(entry->routing);
         g_free(entry);
     }
@@ -129,28 +130,28 @@
 
 enum cw_result
 cw_entry_resolve(struct cw_entry *entry, const char *host, const char *path,
-                 const char *key, struct cw_entry_route *place)
+                 const char *key, struct cw_entry_route *route)
 {
     if (entry->routing == NULL) {
         return CW_REF_NO_BUNDLE;
     }
-    place->queue =
+    route->queue =
         cw_routing_find_queue(entry->routing, host != NULL ? host : "", path);
-    if (place->queue == NULL) {
+    if (route->queue == NULL) {
         return CW_E_NOT_FOUND;
     }
-    place->account =
+    route->account =
         key != NULL ? cw_routing_account_by_key(entry->routing, key) : NULL;
-    if (place->account == NULL && !place->queue->open) {
+    if (route->account == NULL && !route->queue->open) {
         return CW_REF_TOKEN;
     }
-    place->id = path + strlen(place->queue->prefix);
+    route->id = path + strlen(route->queue->prefix);
     return CW_OK;
 }
 
 /* ---- changes ---- */
 
-/* Answers the caller and forgets the change. */
+/* Answers the caller; frees the change unless an append is in flight. */
 static void
 conclude(struct change *change, enum cw_entry_outcome outcome)
 {
@@ -165,7 +166,7 @@
                 change->id, change->queue, names[outcome], change->tries,
                 cw_time_diff_ms(change->began, now),
                 entry->routing != NULL ? entry->routing->version : 0,
-                cw_store_status_name(change->last));
+                cw_store_status_name(change->last_status));
     cw_count_latency(entry->options.counters, CW_LATENCY_STORED,
                      cw_time_diff_ms(change->began, now));
     if (outcome == CW_ENTRY_NOT_DONE) {
@@ -189,16 +190,18 @@
              change->unsure ? CW_ENTRY_UNCONFIRMED : CW_ENTRY_NOT_DONE);
 }
 
-/* A mark of cancellation is in the log.  Whether it counts shows only once
- * the log is read up to it: the job may have ended before. */
+/* Answers a cancellation that is in the log once the replica has read up to
+ * it.  Whether it takes effect is not known before, as the job may have ended
+ * earlier in the log. */
 static void
-judge_cancel(struct change *change)
+check_cancel(struct change *change)
 {
     struct cw_replica *replica = change->entry->options.replica;
     const struct cw_replica_job *job;
 
     if (cw_follower_position(cw_replica_follower(replica)) <=
-        change->stored_at) {
+        change->stored_offset)
+    {
         return;
     }
     job = cw_replica_find_job(replica, change->id);
@@ -213,7 +216,7 @@
 static void
 change_stored(struct change *change, uint64_t offset)
 {
-    /* This VM shows it as soon as it has read it, in log order. */
+    /* Reads at once: the change shows on this VM only once it was read. */
     cw_follower_read_now(cw_replica_follower(change->entry->options.replica));
     if (change->answered) {
         g_ptr_array_remove_fast(change->entry->changes, change);
@@ -221,8 +224,8 @@
     }
     else if (change->kind == CW_WORK_KEY_CANCEL) {
         change->stored = true;
-        change->stored_at = offset;
-        judge_cancel(change);
+        change->stored_offset = offset;
+        check_cancel(change);
     }
     else {
         conclude(change, CW_ENTRY_STORED);
@@ -236,7 +239,7 @@
     struct timespec now = cw_clock_now(change->entry->options.clock);
 
     change->in_flight = false;
-    change->last = result->status;
+    change->last_status = result->status;
     if (result->status == CW_STORE_OK) {
         change_stored(change, result->first);
         return;
@@ -250,16 +253,16 @@
         change->unsure = true;
     }
     cw_count_code(change->entry->options.counters, CW_RETRY_APPEND);
-    change->retry_ms =
-        CLAMP(change->retry_ms * 2, RETRY_FIRST_MS, RETRY_MOST_MS);
+    change->retry_ms = CLAMP(change->retry_ms * 2, RETRY_MIN_MS, RETRY_MAX_MS);
     change->due = cw_time_add_ms(now, change->retry_ms);
-    if (!cw_time_before(change->due, change->give_up)) {
+    if (!cw_time_before(change->due, change->deadline)) {
         give_up(change);
     }
 }
 
-/* An attempt to cancel must not replace an earlier one, whose place in the
- * log may be what decides. */
+/* Key of the change's record.  Each attempt to cancel has its own key, as it
+ * must not replace an earlier attempt, whose offset decides whether the
+ * cancellation takes effect. */
 static char *
 change_key(const struct change *change)
 {
@@ -278,7 +281,7 @@
 send_change(struct change *change, struct timespec now)
 {
     struct cw_store *store = change->entry->options.store;
-    int64_t left = cw_time_diff_ms(now, change->give_up);
+    int64_t left = cw_time_diff_ms(now, change->deadline);
     char *key = change_key(change);
     struct cw_store_record record = {
         .key = key,
@@ -311,14 +314,14 @@
     change->id = g_strdup(id);
     change->queue = g_strdup(queue);
     change->began = cw_clock_now(entry->options.clock);
-    change->give_up = cw_time_add_ms(change->began, budget_ms);
+    change->deadline = cw_time_add_ms(change->began, budget_ms);
     change->due = change->began;
     g_ptr_array_add(entry->changes, change);
     return change;
 }
 
 static void
-spec_release(struct cw_work_spec *spec)
+spec_free(struct cw_work_spec *spec)
 {
     xdr_free((xdrproc_t)xdr_cw_work_spec, (char *)spec);
     g_free(spec);
@@ -340,7 +343,7 @@
         cw_log_info("submit", "id=%s queue=%s outcome=%s known_at=%" PRIu64,
                     spec->id, spec->queue, same ? "known" : "other_job",
                     known->spec_offset);
-        spec_release(spec);
+        spec_free(spec);
         done(context, same ? CW_ENTRY_STORED : CW_ENTRY_OTHER_JOB);
         return;
     }
@@ -350,7 +353,7 @@
         cw_log_info(
             "submit", "id=%s queue=%s outcome=not_done pending=%u isolated=%d",
             spec->id, spec->queue, entry->changes->len, entry->isolated);
-        spec_release(spec);
+        spec_free(spec);
         done(context, CW_ENTRY_NOT_DONE);
         return;
     }
@@ -359,13 +362,14 @@
     change->value = cw_xdr_encode((xdrproc_t)xdr_cw_work_spec, spec);
     change->done = done;
     change->context = context;
-    spec_release(spec);
+    spec_free(spec);
     send_change(change, change->began);
 }
 
 /* ---- cancellation ---- */
 
-/* The job if it is of that queue and account (NULL: of any), or NULL. */
+/* The job if it belongs to the queue and the account (NULL: to any), or
+ * NULL. */
 static const struct cw_replica_job *
 find_job(const struct cw_entry *entry, const char *id, const char *queue,
          const char *account)
@@ -384,14 +388,15 @@
 }
 
 static const char *
-account_name(const struct cw_entry_route *place)
+account_name(const struct cw_entry_route *route)
 {
-    return place->account != NULL ? place->account->name : NULL;
+    return route->account != NULL ? route->account->name : NULL;
 }
 
-/* Answers a cancellation that needs no append; true if it did. */
+/* Answers a cancellation, and returns true, if the job has ended or was
+ * cancelled, so that nothing has to be appended. */
 static bool
-cancel_settled(struct change *change, const struct cw_replica_job *job)
+conclude_if_over(struct change *change, const struct cw_replica_job *job)
 {
     unsigned phase = cw_replica_phase(job);
 
@@ -407,34 +412,34 @@
 }
 
 void
-cw_entry_cancel(struct cw_entry *entry, const struct cw_entry_route *place,
+cw_entry_cancel(struct cw_entry *entry, const struct cw_entry_route *route,
                 unsigned budget_ms, cw_entry_done done, void *context)
 {
-    struct change *change = change_new(entry, CW_WORK_KEY_CANCEL, place->id,
-                                       place->queue->name, budget_ms);
+    struct change *change = change_new(entry, CW_WORK_KEY_CANCEL, route->id,
+                                       route->queue->name, budget_ms);
     const struct cw_replica_job *job;
 
     change->value = g_byte_array_new();
     g_byte_array_append(change->value, (const guint8 *)"1", 1);
     change->done = done;
     change->context = context;
-    change->account = g_strdup(account_name(place));
+    change->account = g_strdup(account_name(route));
     job = find_job(entry, change->id, change->queue, change->account);
     if (job == NULL) {
-        /* Another VM may have taken it a moment ago. */
-        change->look_first = true;
-        change->look_since = change->began;
+        /* Another VM may just have stored the job. */
+        change->awaits_read = true;
+        change->awaits_read_since = change->began;
         cw_follower_read_now(cw_replica_follower(entry->options.replica));
         return;
     }
-    if (!cancel_settled(change, job)) {
+    if (!conclude_if_over(change, job)) {
         send_change(change, change->began);
     }
 }
 
-/* The replica has read on since a cancellation of an unknown job came. */
+/* Looks up the job of a cancellation again, which was unknown so far. */
 static void
-look_again(struct change *change, struct timespec now)
+recheck_cancel(struct change *change, struct timespec now)
 {
     struct cw_replica *replica = change->entry->options.replica;
     const struct cw_replica_job *job =
@@ -443,23 +448,23 @@
         cw_follower_fresh_as_of(cw_replica_follower(replica));
 
     if (job != NULL) {
-        change->look_first = false;
-        if (!cancel_settled(change, job)) {
+        change->awaits_read = false;
+        if (!conclude_if_over(change, job)) {
             send_change(change, now);
         }
     }
-    else if (!cw_time_before(fresh, change->look_since)) {
+    else if (!cw_time_before(fresh, change->awaits_read_since)) {
         conclude(change, CW_ENTRY_NO_JOB);
     }
-    else if (!cw_time_before(now, change->give_up)) {
+    else if (!cw_time_before(now, change->deadline)) {
         give_up(change);
     }
 }
 
-/* ---- questions ---- */
+/* ---- queries ---- */
 
 static bool
-is_fresh(const struct cw_entry *entry, int64_t within_ms)
+is_fresh(const struct cw_entry *entry, int64_t max_age_ms)
 {
     const struct cw_follower *follower =
         cw_replica_follower(entry->options.replica);
@@ -467,12 +472,12 @@
 
     return cw_follower_loaded(follower) &&
            cw_time_diff_ms(cw_follower_fresh_as_of(follower), now) <=
-               within_ms;
+               max_age_ms;
 }
 
 static enum cw_result
-where_it_stands(const struct cw_entry *entry, const char *id,
-                const char *queue, const char *account, unsigned *phase)
+look_up_phase(const struct cw_entry *entry, const char *id, const char *queue,
+              const char *account, unsigned *phase)
 {
     const struct cw_replica_job *job = find_job(entry, id, queue, account);
 
@@ -481,78 +486,81 @@
         return entry->isolated && !cw_work_is_over(*phase) ? CW_REF_NO_LEDGER
                                                            : CW_OK;
     }
-    return is_fresh(entry, FRESH_MS) ? CW_E_NOT_FOUND : CW_REF_NO_LEDGER;
+    return is_fresh(entry, FRESH_MAX_AGE_MS) ? CW_E_NOT_FOUND
+                                             : CW_REF_NO_LEDGER;
 }
 
 enum cw_result
-cw_entry_query(struct cw_entry *entry, const struct cw_entry_route *place,
+cw_entry_query(struct cw_entry *entry, const struct cw_entry_route *route,
                unsigned *phase)
 {
-    return where_it_stands(entry, place->id, place->queue->name,
-                           account_name(place), phase);
+    return look_up_phase(entry, route->id, route->queue->name,
+                         account_name(route), phase);
 }
 
-/* ---- questions that look first ---- */
+/* ---- queries that read the store first ---- */
 
 void
 cw_entry_query_fresh(struct cw_entry *entry,
-                     const struct cw_entry_route *place,
-                     cw_entry_answered told, void *context)
+                     const struct cw_entry_route *route,
+                     cw_entry_answered on_answer, void *context)
 {
     struct cw_follower *follower = cw_replica_follower(entry->options.replica);
     unsigned phase = CW_WORK_WAITING;
-    enum cw_result result = cw_entry_query(entry, place, &phase);
-    struct question *question;
+    enum cw_result result = cw_entry_query(entry, route, &phase);
+    struct query *query;
 
     if ((result == CW_OK && cw_work_is_over(phase)) || entry->isolated ||
-        cw_follower_is_current(follower) ||
-        entry->questions->len >= PENDING_MAX)
+        cw_follower_is_current(follower) || entry->queries->len >= PENDING_MAX)
     {
-        told(context, result, phase);
+        on_answer(context, result, phase);
         return;
     }
-    question = g_new0(struct question, 1);
-    question->id = g_strdup(place->id);
-    question->queue = g_strdup(place->queue->name);
-    question->account = g_strdup(account_name(place));
-    question->told = told;
-    question->context = context;
-    question->since = cw_clock_now(entry->options.clock);
-    g_ptr_array_add(entry->questions, question);
+    query = g_new0(struct query, 1);
+    query->id = g_strdup(route->id);
+    query->queue = g_strdup(route->queue->name);
+    query->account = g_strdup(account_name(route));
+    query->on_answer = on_answer;
+    query->context = context;
+    query->asked_at = cw_clock_now(entry->options.clock);
+    g_ptr_array_add(entry->queries, query);
     cw_follower_read_now(follower);
 }
 
 static void
-tell(struct cw_entry *entry, const struct question *question)
+answer_query(struct cw_entry *entry, const struct query *query)
 {
     unsigned phase = CW_WORK_WAITING;
-    enum cw_result result = where_it_stands(
-        entry, question->id, question->queue, question->account, &phase);
+    enum cw_result result =
+        look_up_phase(entry, query->id, query->queue, query->account, &phase);
 
-    question->told(question->context, result, phase);
+    query->on_answer(query->context, result, phase);
 }
 
-/* Answers what has been looked for, or has waited long enough. */
+/* Answers the queries whose read is complete, or that have waited for
+ * QUERY_WAIT_MAX_MS. */
 static void
-tell_all(struct cw_entry *entry, struct timespec now, struct timespec *next)
+answer_queries(struct cw_entry *entry, struct timespec now,
+               struct timespec *next)
 {
     const struct cw_follower *follower =
         cw_replica_follower(entry->options.replica);
     struct timespec fresh = cw_follower_fresh_as_of(follower);
     bool current = cw_follower_is_current(follower);
 
-    for (guint i = entry->questions->len; i > 0; i--) {
-        struct question *question = entry->questions->pdata[i - 1];
-        struct timespec late = cw_time_add_ms(question->since, LOOK_MOST_MS);
+    for (guint i = entry->queries->len; i > 0; i--) {
+        struct query *query = entry->queries->pdata[i - 1];
+        struct timespec deadline =
+            cw_time_add_ms(query->asked_at, QUERY_WAIT_MAX_MS);
 
-        if (current || !cw_time_before(fresh, question->since) ||
-            !cw_time_before(now, late))
+        if (current || !cw_time_before(fresh, query->asked_at) ||
+            !cw_time_before(now, deadline))
         {
-            tell(entry, question);
-            g_ptr_array_remove_index_fast(entry->questions, i - 1);
+            answer_query(entry, query);
+            g_ptr_array_remove_index_fast(entry->queries, i - 1);
         }
         else {
-            cw_time_earlier(next, late);
+            cw_time_earlier(next, deadline);
         }
     }
 }
@@ -561,7 +569,7 @@
 cw_entry_count_waiting(struct cw_entry *entry, const struct cw_queue *queue,
                        unsigned *count)
 {
-    if (!is_fresh(entry, FRESH_MS)) {
+    if (!is_fresh(entry, FRESH_MAX_AGE_MS)) {
         return CW_REF_NO_LEDGER;
     }
     *count =
@@ -573,7 +581,7 @@
 cw_entry_is_ready(struct cw_entry *entry)
 {
     return !entry->leaving && !entry->isolated && entry->routing != NULL &&
-           is_fresh(entry, READY_MS);
+           is_fresh(entry, READY_MAX_AGE_MS);
 }
 
 void
@@ -597,7 +605,7 @@
 unsigned
 cw_entry_pending(const struct cw_entry *entry)
 {
-    return entry->changes->len + entry->questions->len;
+    return entry->changes->len + entry->queries->len;
 }
 
 struct timespec
@@ -605,8 +613,8 @@
 {
     struct timespec next = cw_time_from_ms(INT32_MAX);
 
-    tell_all(entry, now, &next);
-    /* Backwards: concluding a change takes it out of the array. */
+    answer_queries(entry, now, &next);
+    /* Backwards, as concluding a change removes it from the array. */
     for (guint i = entry->changes->len; i > 0; i--) {
         struct change *change = entry->changes->pdata[i - 1];
 
@@ -614,32 +622,32 @@
             continue;
         }
         if (change->in_flight) {
-            /* The caller is answered in time, whatever the store does. */
-            if (!cw_time_before(now, change->give_up)) {
+            /* Answers the caller in time though the append is in flight. */
+            if (!cw_time_before(now, change->deadline)) {
                 change->unsure = true;
                 give_up(change);
             }
             else {
-                cw_time_earlier(&next, change->give_up);
+                cw_time_earlier(&next, change->deadline);
             }
         }
         else if (change->stored) {
-            cw_time_earlier(&next, cw_time_add_ms(now, RETRY_FIRST_MS));
-            if (!cw_time_before(now, change->give_up)) {
-                change->unsure = true; /* stored; whether it counts is not
-                                          known here yet */
+            cw_time_earlier(&next, cw_time_add_ms(now, RETRY_MIN_MS));
+            if (!cw_time_before(now, change->deadline)) {
+                change->unsure = true; /* stored; whether it takes effect is
+                                          not known here yet */
                 give_up(change);
             }
             else {
-                judge_cancel(change);
+                check_cancel(change);
             }
         }
         else if (entry->isolated) {
             give_up(change);
         }
-        else if (change->look_first) {
-            cw_time_earlier(&next, cw_time_add_ms(now, RETRY_FIRST_MS));
-            look_again(change, now);
+        else if (change->awaits_read) {
+            cw_time_earlier(&next, cw_time_add_ms(now, RETRY_MIN_MS));
+            recheck_cancel(change, now);
         }
         else if (!cw_time_before(now, change->due)) {
             send_change(change, now);
--- a/src/relay/internal/relay_private.h
+++ b/src/relay/internal/relay_private.h
@@ -1,5 +1,5 @@
-/* Inside the relay: the socket with its calls, the other VMs, and the store
- * over them. */
+/* Internals of the relay: RPC calls over a socket, the other VMs, and the
+ * store that uses them. */
 #ifndef CURLEWCART_RELAY_PRIVATE_H
 #define CURLEWCART_RELAY_PRIVATE_H
 
@@ -14,7 +14,7 @@
 
 /* ---- relay_rpc.c: ONC RPC over UDP without blocking ---- */
 
-/* Where a request came from, for its answer. */
+/* Where to send the answer to a request. */
 struct relay_caller {
     struct sockaddr_in address;
     uint32_t xid;
@@ -25,7 +25,7 @@
 
 struct relay_rpc_options {
     const char *address; /* HOST:PORT */
-    /* A request has come; answered with relay_rpc_answer. */
+    /* A request was received; answer it with relay_rpc_answer. */
     void (*request)(void *context, const struct relay_caller *caller,
                     const struct cw_relay_request *request);
     void *context;
@@ -33,36 +33,41 @@
 
 struct relay_rpc;
 
+/* NULL if the address cannot be listened on. */
 struct relay_rpc *relay_rpc_create(const struct relay_rpc_options *options);
 void relay_rpc_free(struct relay_rpc *rpc);
 
 /* HOST:PORT listened on.  Owned by the caller. */
 char *relay_rpc_address(const struct relay_rpc *rpc);
+
+/* The socket, for polling. */
 int relay_rpc_descriptor(const struct relay_rpc *rpc);
 
-/* Key that seals messages; before it is set nothing is sent or taken. */
+/* Sets the key that authenticates messages; without a key no message is sent
+ * or accepted. */
 void relay_rpc_set_key(struct relay_rpc *rpc, const unsigned char *key);
 bool relay_rpc_has_key(const struct relay_rpc *rpc);
 
-/* Sends a request.  `answered` is called once: with NULL when none has come
- * at `give_up`. */
-void
-relay_rpc_send(struct relay_rpc *rpc, const struct sockaddr_in *to,
-               const struct cw_relay_request *request, struct timespec give_up,
-               relay_answered answered, void *context);
+/* Sends a request.  `answered` is called once: with the answer, or with NULL
+ * if none has arrived by `deadline`. */
+void relay_rpc_send(struct relay_rpc *rpc, const struct sockaddr_in *to,
+                    const struct cw_relay_request *request,
+                    struct timespec deadline, relay_answered answered,
+                    void *context);
 
+/* Answers a request. */
 void relay_rpc_answer(struct relay_rpc *rpc, const struct relay_caller *caller,
                       const struct cw_relay_answer *answer);
 
-/* Takes datagrams that have come. */
+/* Receives and processes the datagrams that have arrived. */
 void relay_rpc_receive(struct relay_rpc *rpc);
 
-/* Gives up on calls; returns when the next one is due. */
+/* Ends the calls whose deadline has passed; returns the next deadline. */
 struct timespec relay_rpc_expire(struct relay_rpc *rpc, struct timespec now);
 
 /* ---- relay_issue.c ---- */
 
-/* What hears of a call's result; one of them, by the request's kind. */
+/* Callbacks for a call's result; the request's kind selects one. */
 struct relay_handlers {
     void (*appended)(void *context,
                      const struct cw_store_append_result *result);
@@ -71,7 +76,7 @@
     void *context;
 };
 
-/* Makes the call that `request` describes. */
+/* Sends the call that `request` describes to the store. */
 void
 relay_issue(struct cw_store *store, const struct cw_relay_request *request,
             unsigned timeout_ms, const struct relay_handlers *handlers);
@@ -83,24 +88,26 @@
     struct cw_store *direct; /* borrowed */
 };
 
+/* Carries out another VM's request at the store and answers it. */
 void
 relay_serve(struct relay_server *server, const struct relay_caller *caller,
             const struct cw_relay_request *request);
 
-/* Answers that the store is out of this VM's reach too. */
+/* Answers CW_STORE_REFUSED: this VM cannot reach the store either. */
 void relay_serve_refuse(struct relay_server *server,
                         const struct relay_caller *caller);
 
 /* ---- relay_peers.c ---- */
 
-enum { RELAY_MEMBERS_FIRST_MS = 1500 };
+/* Time to the next query for the members while no other VM is known. */
+enum { RELAY_NO_PEERS_INTERVAL_MS = 1500 };
 
 /* Another VM. */
 struct peer {
     char *address; /* HOST:PORT */
     struct sockaddr_in socket;
     struct timespec avoid_until;
-    struct timespec heard_at;
+    struct timespec answered_at;
 };
 
 struct cw_relay {
@@ -110,15 +117,15 @@
     struct relay_rpc *rpc;
     struct relay_server server;
     GPtrArray *peers;        /* struct peer */
-    GPtrArray *direct_reads; /* struct direct_read, under way */
+    GPtrArray *direct_reads; /* struct direct_read, in flight */
     guint next_peer;
-    unsigned failures; /* of the store, in a row */
-    bool reaches;      /* the store answers this VM */
-    struct timespec lost_at;
-    struct timespec closed_until; /* to all VMs, as it seems */
+    unsigned failures; /* consecutive failed calls to the store */
+    bool store_reachable;
+    struct timespec unreachable_since;
+    struct timespec peers_paused_until; /* no call is sent to other VMs */
     bool join_in_flight;
     struct timespec join_sent;
-    bool suspect; /* the store has not answered well since */
+    bool store_suspect; /* a call has failed or a join is overdue */
     struct timespec suspect_since;
     struct timespec ping_due;
     bool isolated;
@@ -134,27 +141,30 @@
     return cw_clock_now(relay->options.clock);
 }
 
-/* Notes how the store has answered this VM itself. */
-void relay_note_direct(struct cw_relay *relay, enum cw_store_status status);
+/* Records the status of a call that this VM sent to the store directly. */
+void relay_record_direct_status(struct cw_relay *relay,
+                                enum cw_store_status status);
 
 /* Another VM by address, or NULL. */
 struct peer *
 relay_find_peer(const struct cw_relay *relay, const char *address);
 
-/* The VM that served last, or the next one that is not avoided; NULL if
+/* The VM that was chosen last, or the next one that is not avoided; NULL if
  * there is none. */
 struct peer *relay_choose_peer(struct cw_relay *relay, struct timespec now);
 
+/* Frees a struct peer. */
 void relay_peer_free(gpointer peer);
 
-/* Asks who the members are; that also shows whether the store answers. */
-void relay_ask_members(struct cw_relay *relay);
+/* Requests the members of the group from the store, which also shows whether
+ * the store answers. */
+void relay_request_members(struct cw_relay *relay);
 
-/* Asks other VMs while the store does not answer, and judges whether this VM
- * is cut off. */
+/* Pings other VMs while the store does not answer, and decides whether this VM
+ * is isolated. */
 void relay_check_isolation(struct cw_relay *relay, struct timespec now);
 
-/* Looks for the key in the store, and puts one there if there is none. */
-void relay_ask_key(struct cw_relay *relay);
+/* Reads the key from the store, and stores a new one if there is none. */
+void relay_request_key(struct cw_relay *relay);
 
 #endif
--- a/src/relay/relay.c
+++ b/src/relay/relay.c
@@ -1,4 +1,5 @@
-/* A store that goes straight to the platform's, or through another VM. */
+/* A store that sends calls to the platform's store, directly or through
+ * another VM. */
 #include "curlewcart/cw_relay.h"
 
 #include <inttypes.h>
@@ -10,29 +11,31 @@
 #include "relay/internal/relay_private.h"
 
 enum {
-    PEERS_TRIED_MOST = 3,
+    PEERS_TRIED_MAX = 3,
     PEER_TIMEOUT_MS = 350,
-    /* A VM that did not answer, or is turned away itself. */
+    /* How long a VM is avoided that did not answer, or cannot reach the store
+     * either. */
     PEER_AVOID_MS = 1500,
-    READ_WAIT_MS = 250,
-    /* Well below what fits into one answer (CW_RELAY_BYTES_MAX): a larger
-     * datagram takes a quarter second of a thin link, and holds up or loses
-     * what comes after it. */
-    PEER_READ_MOST_KB = 24,
-    /* Refused by the store and by as many VMs as are tried, the store is
-     * closed to all, or over its rate: for so long nobody else is asked. */
-    CLOSED_MS = 2000
+    PEER_READ_WAIT_MAX_MS = 250,
+    /* Well below the limit of an answer (CW_RELAY_BYTES_MAX): a larger
+     * datagram occupies a slow link for 250 ms, and delays later datagrams
+     * or causes their loss. */
+    PEER_READ_MAX_KB = 24,
+    /* If the store and PEERS_TRIED_MAX VMs refuse a call, the store serves no
+     * VM, or its limit on the rate of calls is exceeded: for this long no call
+     * goes to other VMs. */
+    PEERS_PAUSE_MS = 2000
 };
 
-/* A call under way; `request` holds what it is about. */
+/* A call in flight; `request` has its parameters. */
 struct relay_call {
     struct cw_relay *relay;
     struct cw_relay_request request;
     unsigned timeout_ms;
     unsigned peers_tried;
-    unsigned refused; /* by other VMs */
+    unsigned peers_refused; /* other VMs that refused it */
     bool direct_tried;
-    bool unsure; /* it may have been carried out */
+    bool outcome_unknown; /* it may have been carried out */
     char *peer_address;
     void (*appended)(void *, const struct cw_store_append_result *);
     void (*page)(void *, const struct cw_store_page *);
@@ -40,13 +43,13 @@
     void *context;
 };
 
-/* A read that the store itself was asked for. */
+/* A read that was sent to the store directly. */
 struct direct_read {
     struct cw_relay *relay;
-    struct relay_call *call; /* NULL once it goes on through another VM */
+    struct relay_call *call; /* NULL once it was sent through another VM */
 };
 
-static void try_next(struct relay_call *call);
+static void try_next_route(struct relay_call *call);
 
 /* ---- calls ---- */
 
@@ -83,7 +86,7 @@
     g_free(call);
 }
 
-/* Gives the caller an answer and ends the call. */
+/* Passes the answer to the caller and frees the call. */
 static void
 deliver(struct relay_call *call, const struct cw_relay_answer *answer)
 {
@@ -141,27 +144,29 @@
 deliver_failure(struct relay_call *call)
 {
     struct cw_relay_answer answer = {
-        .status = call->unsure ? CW_STORE_UNKNOWN : CW_STORE_REFUSED};
+        .status = call->outcome_unknown ? CW_STORE_UNKNOWN : CW_STORE_REFUSED};
 
     deliver(call, &answer);
 }
 
-/* ---- the store itself ---- */
+/* ---- direct calls to the store ---- */
 
-/* True if the call goes on elsewhere. */
+/* Records the status of a direct call.  If the call failed, tries another VM
+ * or delivers the failure, and returns true. */
 static bool
-direct_failed(struct relay_call *call, enum cw_store_status status)
+handle_direct_failure(struct relay_call *call, enum cw_store_status status)
 {
-    relay_note_direct(call->relay, status);
+    relay_record_direct_status(call->relay, status);
     if (status != CW_STORE_REFUSED && status != CW_STORE_UNKNOWN) {
         return false;
     }
-    call->unsure = call->unsure || status == CW_STORE_UNKNOWN;
-    if (status == CW_STORE_REFUSED && call->relay->reaches) {
-        deliver_failure(call); /* once may be chance: the caller asks again */
+    call->outcome_unknown =
+        call->outcome_unknown || status == CW_STORE_UNKNOWN;
+    if (status == CW_STORE_REFUSED && call->relay->store_reachable) {
+        deliver_failure(call); /* a single refusal: the caller retries */
     }
     else {
-        try_next(call);
+        try_next_route(call);
     }
     return true;
 }
@@ -171,7 +176,7 @@
 {
     struct relay_call *call = context;
 
-    if (!direct_failed(call, result->status)) {
+    if (!handle_direct_failure(call, result->status)) {
         call->appended(call->context, result);
         call_free(call);
     }
@@ -187,10 +192,10 @@
     g_ptr_array_remove_fast(relay->direct_reads, read);
     g_free(read);
     if (call == NULL) {
-        relay_note_direct(relay, page->status);
+        relay_record_direct_status(relay, page->status);
         return;
     }
-    if (!direct_failed(call, page->status)) {
+    if (!handle_direct_failure(call, page->status)) {
         call->page(call->context, page);
         call_free(call);
     }
@@ -202,7 +207,7 @@
     struct relay_call *call = context;
 
     call->relay->join_in_flight = false;
-    if (!direct_failed(call, result->status)) {
+    if (!handle_direct_failure(call, result->status)) {
         call->joined(call->context, result);
         call_free(call);
     }
@@ -258,7 +263,7 @@
     struct timespec now = relay_now(relay);
 
     if (answer != NULL && peer != NULL) {
-        peer->heard_at = now;
+        peer->answered_at = now;
     }
     if (answer != NULL && answer->status != CW_STORE_REFUSED &&
         answer->status != CW_STORE_UNKNOWN)
@@ -268,51 +273,53 @@
         return;
     }
     if (answer == NULL || answer->status == CW_STORE_UNKNOWN) {
-        call->unsure = true;
+        call->outcome_unknown = true;
     }
     if (peer != NULL) {
         peer->avoid_until = cw_time_add_ms(now, PEER_AVOID_MS);
     }
-    call->refused += answer != NULL && answer->status == CW_STORE_REFUSED;
-    if (call->refused == PEERS_TRIED_MOST) {
-        relay->closed_until = cw_time_add_ms(now, CLOSED_MS);
+    call->peers_refused +=
+        answer != NULL && answer->status == CW_STORE_REFUSED;
+    if (call->peers_refused == PEERS_TRIED_MAX) {
+        relay->peers_paused_until = cw_time_add_ms(now, PEERS_PAUSE_MS);
     }
-    try_next(call);
+    try_next_route(call);
 }
 
 static void
 try_peer(struct relay_call *call, struct peer *peer)
 {
     struct cw_relay *relay = call->relay;
-    unsigned wait_ms = MIN(call->request.wait_ms, READ_WAIT_MS);
-    struct timespec give_up =
+    unsigned wait_ms = MIN(call->request.wait_ms, PEER_READ_WAIT_MAX_MS);
+    struct timespec deadline =
         cw_time_add_ms(relay_now(relay), wait_ms + PEER_TIMEOUT_MS);
 
     call->peers_tried++;
     call->request.wait_ms = wait_ms;
-    call->request.most_kb = PEER_READ_MOST_KB;
+    call->request.most_kb = PEER_READ_MAX_KB;
     g_free(call->peer_address);
     call->peer_address = g_strdup(peer->address);
-    relay_rpc_send(relay->rpc, &peer->socket, &call->request, give_up,
+    relay_rpc_send(relay->rpc, &peer->socket, &call->request, deadline,
                    on_peer_answer, call);
 }
 
-/* True if another VM may be asked, if there is one that is not avoided. */
+/* True if the call may go through another VM, provided that there is one that
+ * is not avoided. */
 static bool
-can_ask_peers(const struct relay_call *call)
+can_use_peers(const struct relay_call *call)
 {
     const struct cw_relay *relay = call->relay;
 
-    return call->peers_tried < PEERS_TRIED_MOST && relay->peers->len > 0 &&
+    return call->peers_tried < PEERS_TRIED_MAX && relay->peers->len > 0 &&
            relay_rpc_has_key(relay->rpc) &&
-           !cw_time_before(relay_now(relay), relay->closed_until);
+           !cw_time_before(relay_now(relay), relay->peers_paused_until);
 }
 
 static void
-try_next(struct relay_call *call)
+try_next_route(struct relay_call *call)
 {
     struct cw_relay *relay = call->relay;
-    struct peer *peer = can_ask_peers(call)
+    struct peer *peer = can_use_peers(call)
                             ? relay_choose_peer(relay, relay_now(relay))
                             : NULL;
 
@@ -327,10 +334,11 @@
     }
 }
 
-/* Reads that wait for the store go on through other VMs once it is suspected
- * not to answer this one: a read that waits for records would show it a second
- * later than other calls.  The store's own answer, if it comes, is only noted.
- * Pages of newest records are left, as they do not fit into an answer. */
+/* Sends the direct reads in flight through other VMs once the store is
+ * suspected not to answer this VM: a read that waits for records would fail a
+ * second later than other calls.  If the store does answer such a read, only
+ * the status is used.  Reads of newest records are not diverted, as their
+ * pages do not fit into an answer. */
 static void
 divert_reads(struct cw_relay *relay)
 {
@@ -339,25 +347,25 @@
         struct relay_call *call = read->call;
 
         if (call != NULL && call->request.kind == CW_RELAY_READ &&
-            can_ask_peers(call)) {
+            can_use_peers(call)) {
             read->call = NULL;
-            call->unsure = true;
-            try_next(call);
+            call->outcome_unknown = true;
+            try_next_route(call);
         }
     }
 }
 
 static void
-begin(struct relay_call *call)
+start_call(struct relay_call *call)
 {
     struct cw_relay *relay = call->relay;
-    bool doubtful = relay->suspect && call->request.kind == CW_RELAY_READ;
+    bool divert = relay->store_suspect && call->request.kind == CW_RELAY_READ;
 
-    if (relay->reaches && !doubtful) {
+    if (relay->store_reachable && !divert) {
         try_direct(call);
     }
     else {
-        try_next(call);
+        try_next_route(call);
     }
 }
 
@@ -393,7 +401,7 @@
         memcpy(to->value.value_val, from->value != NULL ? from->value : "",
                to->value.value_len);
     }
-    begin(call);
+    start_call(call);
 }
 
 static void
@@ -408,7 +416,7 @@
     call->request.from = read->from;
     call->request.wait_ms = read->wait_ms;
     call->request.most_kb = read->most_kb;
-    begin(call);
+    start_call(call);
 }
 
 static void
@@ -423,7 +431,7 @@
     if (newest->after != NULL) {
         set_text(&call->request.after, newest->after);
     }
-    begin(call);
+    start_call(call);
 }
 
 static void
@@ -438,7 +446,7 @@
     set_text(&call->request.member, join->member);
     call->request.ttl_ms = join->ttl_ms;
     call->request.generation = join->generation;
-    begin(call);
+    start_call(call);
 }
 
 static void
@@ -465,7 +473,7 @@
 {
     struct cw_relay *relay = context;
 
-    if (relay->reaches) {
+    if (relay->store_reachable) {
         relay_serve(&relay->server, caller, request);
     }
     else {
@@ -493,15 +501,15 @@
     relay->options = *options;
     relay->peers = g_ptr_array_new_with_free_func(relay_peer_free);
     relay->direct_reads = g_ptr_array_new();
-    relay->reaches = true;
-    relay->members_due = cw_time_add_ms(now, RELAY_MEMBERS_FIRST_MS);
+    relay->store_reachable = true;
+    relay->members_due = cw_time_add_ms(now, RELAY_NO_PEERS_INTERVAL_MS);
     relay->rpc = relay_rpc_create(&rpc);
     if (relay->rpc == NULL) {
         cw_relay_free(relay);
         return NULL;
     }
     relay->address = relay_rpc_address(relay->rpc);
-    /* VMs that are turned away together do not all ask the same one. */
+    /* Makes VMs that lose the store together use different VMs. */
     relay->next_peer = g_str_hash(relay->address);
     relay->server.rpc = relay->rpc;
     relay->server.direct = options->direct;
@@ -552,13 +560,13 @@
     struct timespec next = relay_rpc_expire(relay->rpc, now);
 
     relay_check_isolation(relay, now);
-    if (relay->suspect) {
+    if (relay->store_suspect) {
         divert_reads(relay);
         cw_time_earlier(&next, relay->ping_due);
     }
     if (!relay_rpc_has_key(relay->rpc) && !relay->key_in_flight) {
         if (!cw_time_before(now, relay->key_due)) {
-            relay_ask_key(relay);
+            relay_request_key(relay);
         }
         else {
             cw_time_earlier(&next, relay->key_due);
@@ -566,7 +574,7 @@
     }
     if (!relay->members_in_flight) {
         if (!cw_time_before(now, relay->members_due)) {
-            relay_ask_members(relay);
+            relay_request_members(relay);
         }
         else {
             cw_time_earlier(&next, relay->members_due);
--- a/src/relay/relay_issue.c
+++ b/src/relay/relay_issue.c
@@ -1,4 +1,4 @@
-/* Calls to a store, made from their description. */
+/* Sends the call that a relay request describes to a store. */
 #include "relay/internal/relay_private.h"
 
 static void
@@ -105,6 +105,6 @@
         issue_join(store, request, timeout_ms, handlers);
         break;
     case CW_RELAY_PING:
-        break; /* says nothing to a store */
+        break; /* not a call to a store */
     }
 }
--- a/src/relay/relay_peers.c
+++ b/src/relay/relay_peers.c
@@ -1,5 +1,5 @@
-/* The other VMs: who they are, whether they are there, and the key that
- * proves them to each other. */
+/* The other VMs: their addresses, whether they answer, and the key by which
+ * VMs authenticate messages to each other. */
 #include <inttypes.h>
 #include <string.h>
 #include <sodium.h>
@@ -9,19 +9,19 @@
 #include "relay/internal/relay_private.h"
 
 enum {
-    /* Calls in a row that the store did not answer well. */
-    FAILURES_MOST = 2,
-    PROBE_EVERY_MS = 600,
+    /* After this many consecutive failed calls the store is unreachable. */
+    FAILURES_MAX = 2,
+    PROBE_INTERVAL_MS = 600,
     PROBE_TIMEOUT_MS = 500,
-    MEMBERS_EVERY_MS = 10000,
+    MEMBERS_INTERVAL_MS = 10000,
     KEY_RETRY_MS = 400,
-    /* A join takes a few ms, a quarter second while the store is slow. */
-    SUSPECT_MS = 350,
-    PING_EVERY_MS = 200,
+    /* A join takes a few ms, and 250 ms while the store is slow. */
+    JOIN_SUSPECT_MS = 350,
+    PING_INTERVAL_MS = 200,
     PING_TIMEOUT_MS = 300,
-    /* Of the other VMs; with fewer than half of them answering for so long
-     * this VM is cut off, alone or with its data centre. */
-    PINGS_AT_ONCE = 12,
+    PINGED_PEERS_MAX = 12,
+    /* If fewer than half of the pinged VMs have answered within this time,
+     * this VM is isolated, alone or with its data centre. */
     ISOLATED_MS = 500
 };
 
@@ -31,10 +31,10 @@
 /* ---- whether the store answers ---- */
 
 static void
-suspect(struct cw_relay *relay)
+suspect_store(struct cw_relay *relay)
 {
-    if (!relay->suspect) {
-        relay->suspect = true;
+    if (!relay->store_suspect) {
+        relay->store_suspect = true;
         relay->suspect_since = relay_now(relay);
         relay->ping_due = relay->suspect_since;
         relay->members_due = relay->suspect_since;
@@ -42,31 +42,32 @@
 }
 
 void
-relay_note_direct(struct cw_relay *relay, enum cw_store_status status)
+relay_record_direct_status(struct cw_relay *relay, enum cw_store_status status)
 {
     if (status != CW_STORE_REFUSED && status != CW_STORE_UNKNOWN) {
-        if (!relay->reaches) {
-            cw_log_info("dependency_regained", "what=store away_ms=%" PRId64,
-                        cw_time_diff_ms(relay->lost_at, relay_now(relay)));
+        if (!relay->store_reachable) {
+            cw_log_info(
+                "dependency_regained", "what=store away_ms=%" PRId64,
+                cw_time_diff_ms(relay->unreachable_since, relay_now(relay)));
         }
         relay->failures = 0;
-        relay->reaches = true;
-        relay->suspect = false;
+        relay->store_reachable = true;
+        relay->store_suspect = false;
         return;
     }
     relay->failures++;
-    suspect(relay);
-    if (relay->reaches && relay->failures >= FAILURES_MOST) {
-        relay->reaches = false;
-        relay->lost_at = relay_now(relay);
-        relay->members_due = relay->lost_at;
+    suspect_store(relay);
+    if (relay->store_reachable && relay->failures >= FAILURES_MAX) {
+        relay->store_reachable = false;
+        relay->unreachable_since = relay_now(relay);
+        relay->members_due = relay->unreachable_since;
         cw_log_warning(
             "dependency_lost", "what=store status=%s failures=%u peers=%u",
             cw_store_status_name(status), relay->failures, relay->peers->len);
     }
 }
 
-/* ---- who they are ---- */
+/* ---- addresses of the other VMs ---- */
 
 struct peer *
 relay_find_peer(const struct cw_relay *relay, const char *address)
@@ -81,7 +82,7 @@
     return NULL;
 }
 
-/* The VM that served last, or the next one that is not avoided. */
+/* The VM that was chosen last, or the next one that is not avoided. */
 struct peer *
 relay_choose_peer(struct cw_relay *relay, struct timespec now)
 {
@@ -98,9 +99,9 @@
 }
 
 char *
-cw_relay_member_name(const char *vm, const char *address, uint64_t life)
+cw_relay_member_name(const char *vm, const char *address, uint64_t incarnation)
 {
-    return g_strdup_printf("%s/%016" PRIx64 "@%s", vm, life, address);
+    return g_strdup_printf("%s/%016" PRIx64 "@%s", vm, incarnation, address);
 }
 
 void
@@ -112,7 +113,8 @@
     g_free(peer);
 }
 
-/* Adds the VM of a member's name to `peers`, unless it is there. */
+/* Adds the VM of a member's name to `peers`, unless it is this VM or was added
+ * before. */
 static void
 add_member(struct cw_relay *relay, GPtrArray *peers, const char *member)
 {
@@ -133,7 +135,7 @@
     known = relay_find_peer(relay, at + 1);
     if (known != NULL) {
         peer->avoid_until = known->avoid_until;
-        peer->heard_at = known->heard_at;
+        peer->answered_at = known->answered_at;
     }
     if (!cw_address_parse(peer->address, &peer->socket)) {
         relay_peer_free(peer);
@@ -150,9 +152,9 @@
     GPtrArray *peers;
 
     relay->members_in_flight = false;
-    relay_note_direct(relay, result->status);
-    relay->members_due = cw_time_add_ms(now, relay->reaches ? MEMBERS_EVERY_MS
-                                                            : PROBE_EVERY_MS);
+    relay_record_direct_status(relay, result->status);
+    relay->members_due = cw_time_add_ms(
+        now, relay->store_reachable ? MEMBERS_INTERVAL_MS : PROBE_INTERVAL_MS);
     if (result->status != CW_STORE_OK) {
         return;
     }
@@ -161,7 +163,7 @@
         add_member(relay, peers, result->members[i]);
     }
     if (peers->len == 0) {
-        relay->members_due = cw_time_add_ms(now, RELAY_MEMBERS_FIRST_MS);
+        relay->members_due = cw_time_add_ms(now, RELAY_NO_PEERS_INTERVAL_MS);
         g_ptr_array_unref(peers);
         return;
     }
@@ -169,9 +171,8 @@
     relay->peers = peers;
 }
 
-/* Asks who the members are; that also shows whether the store answers. */
 void
-relay_ask_members(struct cw_relay *relay)
+relay_request_members(struct cw_relay *relay)
 {
     struct cw_store_list_members list = {
         .group = relay->options.group,
@@ -184,22 +185,22 @@
     relay->options.direct->ops->members(relay->options.direct, &list);
 }
 
-/* ---- is anybody there? ---- */
+/* ---- isolation ---- */
 
-/* A question whether another VM is there. */
+/* A ping in flight. */
 struct ping {
     struct cw_relay *relay;
     char *address;
 };
 
 static void
-on_pong(void *context, const struct cw_relay_answer *answer)
+on_ping_answer(void *context, const struct cw_relay_answer *answer)
 {
     struct ping *ping = context;
     struct peer *peer = relay_find_peer(ping->relay, ping->address);
 
     if (answer != NULL && peer != NULL) {
-        peer->heard_at = relay_now(ping->relay);
+        peer->answered_at = relay_now(ping->relay);
     }
     g_free(ping->address);
     g_free(ping);
@@ -207,7 +208,7 @@
 
 static void
 send_ping(struct cw_relay *relay, const struct peer *peer,
-          struct timespec give_up)
+          struct timespec deadline)
 {
     struct cw_relay_request request = {
         .kind = CW_RELAY_PING,
@@ -221,58 +222,56 @@
 
     ping->relay = relay;
     ping->address = g_strdup(peer->address);
-    relay_rpc_send(relay->rpc, &peer->socket, &request, give_up, on_pong,
-                   ping);
+    relay_rpc_send(relay->rpc, &peer->socket, &request, deadline,
+                   on_ping_answer, ping);
 }
 
 static void
 send_pings(struct cw_relay *relay, struct timespec now)
 {
-    struct timespec give_up = cw_time_add_ms(now, PING_TIMEOUT_MS);
+    struct timespec deadline = cw_time_add_ms(now, PING_TIMEOUT_MS);
 
-    relay->ping_due = cw_time_add_ms(now, PING_EVERY_MS);
-    for (guint i = 0; i < PINGS_AT_ONCE && i < relay->peers->len; i++) {
-        send_ping(relay, relay->peers->pdata[i], give_up);
+    relay->ping_due = cw_time_add_ms(now, PING_INTERVAL_MS);
+    for (guint i = 0; i < PINGED_PEERS_MAX && i < relay->peers->len; i++) {
+        send_ping(relay, relay->peers->pdata[i], deadline);
     }
 }
 
-/* Of the VMs that are asked, how many have answered lately. */
+/* Number of the pinged VMs that have answered within ISOLATED_MS. */
 static unsigned
-peers_heard(const struct cw_relay *relay, struct timespec now)
+count_answering_peers(const struct cw_relay *relay, struct timespec now)
 {
-    unsigned heard = 0;
+    unsigned answering = 0;
 
-    for (guint i = 0; i < PINGS_AT_ONCE && i < relay->peers->len; i++) {
+    for (guint i = 0; i < PINGED_PEERS_MAX && i < relay->peers->len; i++) {
         const struct peer *peer = relay->peers->pdata[i];
 
-        heard += cw_time_diff_ms(peer->heard_at, now) <= ISOLATED_MS;
+        answering += cw_time_diff_ms(peer->answered_at, now) <= ISOLATED_MS;
     }
-    return heard;
+    return answering;
 }
 
-/* Asks other VMs while the store does not answer, and judges whether this
- * VM is cut off from all. */
 void
 relay_check_isolation(struct cw_relay *relay, struct timespec now)
 {
-    unsigned asked = MIN(relay->peers->len, (guint)PINGS_AT_ONCE);
-    unsigned heard = peers_heard(relay, now);
+    unsigned pinged = MIN(relay->peers->len, (guint)PINGED_PEERS_MAX);
+    unsigned answering = count_answering_peers(relay, now);
     bool isolated;
 
     if (relay->join_in_flight &&
-        cw_time_diff_ms(relay->join_sent, now) > SUSPECT_MS)
+        cw_time_diff_ms(relay->join_sent, now) > JOIN_SUSPECT_MS)
     {
-        suspect(relay);
+        suspect_store(relay);
     }
-    if (relay->suspect && !cw_time_before(now, relay->ping_due)) {
+    if (relay->store_suspect && !cw_time_before(now, relay->ping_due)) {
         send_pings(relay, now);
     }
-    isolated = relay->suspect && asked > 0 && 2 * heard < asked &&
+    isolated = relay->store_suspect && pinged > 0 && 2 * answering < pinged &&
                cw_time_diff_ms(relay->suspect_since, now) > ISOLATED_MS;
     if (isolated != relay->isolated) {
         relay->isolated = isolated;
-        cw_log_info("isolated", "now=%d asked=%u heard=%u", isolated, asked,
-                    heard);
+        cw_log_info("isolated", "now=%d asked=%u heard=%u", isolated, pinged,
+                    answering);
     }
 }
 
@@ -283,7 +282,7 @@
 {
     struct cw_relay *relay = context;
 
-    /* Whoever was first: the next look finds the key. */
+    /* Stored by this VM or by another one: the next read finds a key. */
     cw_log_info("relay_key_append", "append=%s",
                 cw_store_status_name(result->status));
     relay->key_in_flight = false;
@@ -333,7 +332,7 @@
 }
 
 void
-relay_ask_key(struct cw_relay *relay)
+relay_request_key(struct cw_relay *relay)
 {
     struct cw_store_read_newest newest = {
         .topic = SECRET_TOPIC,
--- a/src/relay/relay_rpc.c
+++ b/src/relay/relay_rpc.c
@@ -1,4 +1,4 @@
-/* ONC RPC over UDP, neither call nor answer ever blocking. */
+/* Non-blocking ONC RPC over UDP. */
 #include "relay/internal/relay_private.h"
 
 #include <arpa/inet.h>
@@ -13,12 +13,12 @@
 #include "curlewcart/cw_time.h"
 #include "curlewcart/cw_xdr.h"
 
-enum { DATAGRAM_BYTES_MAX = 65000, RECEIVE_MOST = 64 };
+enum { DATAGRAM_BYTES_MAX = 65000, RECEIVE_DATAGRAMS_MAX = 64 };
 
-/* A request on its way. */
+/* A request that waits for its answer. */
 struct waiting_call {
     uint32_t xid;
-    struct timespec give_up;
+    struct timespec deadline;
     relay_answered answered;
     void *context;
 };
@@ -95,13 +95,13 @@
     return rpc->has_key;
 }
 
-/* ---- sealing ---- */
+/* ---- authentication ---- */
 
-/* The transaction and the direction are sealed too: an answer can stand for
- * no other call, and not for a request. */
+/* The MAC covers the transaction id and the direction too, so that an answer
+ * cannot be replayed as the answer to another call, or as a request. */
 static void
-make_mac(const struct relay_rpc *rpc, uint32_t xid, uint32_t direction,
-         const struct cw_relay_sealed *sealed, unsigned char *mac)
+compute_mac(const struct relay_rpc *rpc, uint32_t xid, uint32_t direction,
+            const struct cw_relay_sealed *sealed, unsigned char *mac)
 {
     const uint32_t head[] = {htonl(xid), htonl(direction)};
     crypto_generichash_state state;
@@ -116,18 +116,18 @@
 }
 
 static bool
-mac_is_good(const struct relay_rpc *rpc, uint32_t xid, uint32_t direction,
-            const struct cw_relay_sealed *sealed)
+mac_is_valid(const struct relay_rpc *rpc, uint32_t xid, uint32_t direction,
+             const struct cw_relay_sealed *sealed)
 {
     unsigned char mac[CW_MAC_BYTES];
 
-    make_mac(rpc, xid, direction, sealed, mac);
+    compute_mac(rpc, xid, direction, sealed, mac);
     return sodium_memcmp(mac, sealed->mac, sizeof(mac)) == 0;
 }
 
 /* ---- datagrams ---- */
 
-/* Encodes `message`, whose body is `value` sealed, and sends it. */
+/* Encodes `message` with `value` and its MAC as the body, and sends it. */
 static bool
 send_message(struct relay_rpc *rpc, const struct sockaddr_in *to,
              struct rpc_msg *message, xdrproc_t codec, const void *value)
@@ -146,8 +146,8 @@
     }
     sealed.body.body_val = (char *)body->data;
     sealed.body.body_len = body->len;
-    make_mac(rpc, message->rm_xid, (uint32_t)message->rm_direction, &sealed,
-             (unsigned char *)sealed.mac);
+    compute_mac(rpc, message->rm_xid, (uint32_t)message->rm_direction, &sealed,
+                (unsigned char *)sealed.mac);
     bytes = g_malloc(DATAGRAM_BYTES_MAX);
     xdrmem_create(&stream, bytes, DATAGRAM_BYTES_MAX, XDR_ENCODE);
     if (message->rm_direction == CALL) {
@@ -171,14 +171,15 @@
 
 void
 relay_rpc_send(struct relay_rpc *rpc, const struct sockaddr_in *to,
-               const struct cw_relay_request *request, struct timespec give_up,
-               relay_answered answered, void *context)
+               const struct cw_relay_request *request,
+               struct timespec deadline, relay_answered answered,
+               void *context)
 {
     struct waiting_call *call = g_new0(struct waiting_call, 1);
     struct rpc_msg message = {0};
 
     call->xid = rpc->next_xid++;
-    call->give_up = give_up;
+    call->deadline = deadline;
     call->answered = answered;
     call->context = context;
     g_hash_table_insert(rpc->waiting, GUINT_TO_POINTER(call->xid), call);
@@ -194,7 +195,7 @@
         !send_message(rpc, to, &message, (xdrproc_t)xdr_cw_relay_request,
                       request))
     {
-        call->give_up = cw_time_from_ms(0); /* told at the next tick */
+        call->deadline = cw_time_from_ms(0); /* ends at the next tick */
     }
 }
 
@@ -220,8 +221,8 @@
 /* ---- receiving ---- */
 
 static void
-take_call(struct relay_rpc *rpc, XDR *stream, const struct rpc_msg *message,
-          const struct sockaddr_in *from)
+handle_call(struct relay_rpc *rpc, XDR *stream, const struct rpc_msg *message,
+            const struct sockaddr_in *from)
 {
     struct relay_caller caller = {.address = *from, .xid = message->rm_xid};
     struct cw_relay_sealed sealed = {0};
@@ -234,7 +235,7 @@
         xdr_free((xdrproc_t)xdr_cw_relay_sealed, (char *)&sealed);
         return;
     }
-    if (mac_is_good(rpc, caller.xid, CALL, &sealed) &&
+    if (mac_is_valid(rpc, caller.xid, CALL, &sealed) &&
         cw_xdr_decode((xdrproc_t)xdr_cw_relay_request, &request,
                       sealed.body.body_val, sealed.body.body_len))
     {
@@ -245,14 +246,14 @@
 }
 
 static void
-take_answer(struct relay_rpc *rpc, uint32_t xid,
-            const struct cw_relay_sealed *sealed)
+handle_answer(struct relay_rpc *rpc, uint32_t xid,
+              const struct cw_relay_sealed *sealed)
 {
     struct waiting_call *call =
         g_hash_table_lookup(rpc->waiting, GUINT_TO_POINTER(xid));
     struct cw_relay_answer answer = {0};
 
-    if (call == NULL || !mac_is_good(rpc, xid, REPLY, sealed) ||
+    if (call == NULL || !mac_is_valid(rpc, xid, REPLY, sealed) ||
         !cw_xdr_decode((xdrproc_t)xdr_cw_relay_answer, &answer,
                        sealed->body.body_val, sealed->body.body_len))
     {
@@ -276,8 +277,8 @@
 }
 
 static void
-take_datagram(struct relay_rpc *rpc, char *bytes, size_t length,
-              const struct sockaddr_in *from)
+handle_datagram(struct relay_rpc *rpc, char *bytes, size_t length,
+                const struct sockaddr_in *from)
 {
     char credentials[2 * MAX_AUTH_BYTES];
     struct rpc_msg message = {0};
@@ -293,7 +294,7 @@
         message.rm_call.cb_cred.oa_base = credentials;
         message.rm_call.cb_verf.oa_base = credentials + MAX_AUTH_BYTES;
         if (xdr_callmsg(&stream, &message)) {
-            take_call(rpc, &stream, &message, from);
+            handle_call(rpc, &stream, &message, from);
         }
     }
     else {
@@ -301,7 +302,7 @@
 
         message.acpted_rply.ar_verf.oa_base = credentials;
         if (decode_reply(&stream, &message, &sealed)) {
-            take_answer(rpc, message.rm_xid, &sealed);
+            handle_answer(rpc, message.rm_xid, &sealed);
         }
         xdr_free((xdrproc_t)xdr_cw_relay_sealed, (char *)&sealed);
     }
@@ -313,7 +314,7 @@
 {
     char *bytes = g_malloc(DATAGRAM_BYTES_MAX);
 
-    for (unsigned i = 0; i < RECEIVE_MOST; i++) {
+    for (unsigned i = 0; i < RECEIVE_DATAGRAMS_MAX; i++) {
         struct sockaddr_in from;
         socklen_t size = sizeof(from);
         ssize_t length = recvfrom(rpc->fd, bytes, DATAGRAM_BYTES_MAX, 0,
@@ -323,7 +324,7 @@
             break;
         }
         if (rpc->has_key) {
-            take_datagram(rpc, bytes, (size_t)length, &from);
+            handle_datagram(rpc, bytes, (size_t)length, &from);
         }
     }
     g_free(bytes);
@@ -341,12 +342,12 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct waiting_call *call = value;
 
-        if (!cw_time_before(now, call->give_up)) {
+        if (!cw_time_before(now, call->deadline)) {
             g_hash_table_iter_steal(&iterator);
             g_ptr_array_add(expired, call);
         }
         else {
-            cw_time_earlier(&next, call->give_up);
+            cw_time_earlier(&next, call->deadline);
         }
     }
     for (guint i = 0; i < expired->len; i++) {
--- a/src/relay/relay_serve.c
+++ b/src/relay/relay_serve.c
@@ -1,4 +1,4 @@
-/* Carrying out other VMs' calls to the store. */
+/* Carries out other VMs' calls to the store. */
 #include "relay/internal/relay_private.h"
 
 #include <string.h>
@@ -6,34 +6,37 @@
 #include "curlewcart/cw_store.h"
 
 enum {
-    /* Below the asking VM's patience, so that it hears how it went. */
+    /* Meant to end before the requesting VM's timeout, so that this VM's
+     * answer is in time; PEER_TIMEOUT_MS in relay.c is shorter, however. */
     SERVE_TIMEOUT_MS = 600,
-    /* Room for an answer's own fields in a datagram. */
-    ANSWER_BYTES_MAX = CW_RELAY_BYTES_MAX - 1024,
-    RECORD_BYTES_EXTRA = 24
+    /* Leaves space for an answer's other fields in a datagram. */
+    ANSWER_RECORDS_BYTES_MAX = CW_RELAY_BYTES_MAX - 1024,
+    RECORD_OVERHEAD_BYTES = 24
 };
 
-/* A request under way. */
-struct served {
+/* A request of another VM that waits for the store's answer. */
+struct peer_request {
     struct relay_server *server;
     struct relay_caller caller;
 };
 
-static struct served *
-served_new(struct relay_server *server, const struct relay_caller *caller)
+static struct peer_request *
+peer_request_new(struct relay_server *server,
+                 const struct relay_caller *caller)
 {
-    struct served *served = g_new0(struct served, 1);
+    struct peer_request *peer_request = g_new0(struct peer_request, 1);
 
-    served->server = server;
-    served->caller = *caller;
-    return served;
+    peer_request->server = server;
+    peer_request->caller = *caller;
+    return peer_request;
 }
 
 static void
-finish(struct served *served, const struct cw_relay_answer *answer)
+send_answer(struct peer_request *peer_request,
+            const struct cw_relay_answer *answer)
 {
-    relay_rpc_answer(served->server->rpc, &served->caller, answer);
-    g_free(served);
+    relay_rpc_answer(peer_request->server->rpc, &peer_request->caller, answer);
+    g_free(peer_request);
 }
 
 static void
@@ -46,10 +49,11 @@
         .expected_sequence = result->expected_sequence,
     };
 
-    finish(context, &answer);
+    send_answer(context, &answer);
 }
 
-/* As many records as a datagram holds; the asking VM reads on. */
+/* Answers with as many records as fit into a datagram; the requesting VM reads
+ * on from there. */
 static void
 on_page(void *context, const struct cw_store_page *page)
 {
@@ -65,8 +69,9 @@
     for (size_t i = 0; i < page->count; i++) {
         const struct cw_store_record *record = &page->records[i];
 
-        bytes += strlen(record->key) + record->length + RECORD_BYTES_EXTRA;
-        if (bytes > ANSWER_BYTES_MAX || count == CW_RELAY_RECORDS_MAX) {
+        bytes += strlen(record->key) + record->length + RECORD_OVERHEAD_BYTES;
+        if (bytes > ANSWER_RECORDS_BYTES_MAX || count == CW_RELAY_RECORDS_MAX)
+        {
             answer.more = true;
             break;
         }
@@ -81,7 +86,7 @@
     }
     answer.records.records_val = records;
     answer.records.records_len = count;
-    finish(context, &answer);
+    send_answer(context, &answer);
     g_free(records);
 }
 
@@ -93,7 +98,7 @@
 
     answer.partitions.partitions_val = (u_int *)result->partitions;
     answer.partitions.partitions_len = (u_int)MIN(result->count, 1024);
-    finish(context, &answer);
+    send_answer(context, &answer);
 }
 
 static void
@@ -124,7 +129,7 @@
         serve_ping(server, caller);
         return;
     }
-    handlers.context = served_new(server, caller);
+    handlers.context = peer_request_new(server, caller);
     relay_issue(server->direct, request, SERVE_TIMEOUT_MS + request->wait_ms,
                 &handlers);
 }
--- a/src/replica/follower.c
+++ b/src/replica/follower.c
@@ -1,4 +1,5 @@
-/* Following a keyed partition: load, read on, load again when needed. */
+/* Follows a keyed partition: loads it, reads on, and loads again when needed.
+ */
 #include "curlewcart/cw_follower.h"
 
 #include <inttypes.h>
@@ -7,25 +8,25 @@
 #include "curlewcart/cw_log.h"
 
 enum {
-    /* An answer takes a few ms, and up to about a quarter second while the
-     * store is slow; a cut shows within this. */
+    /* An answer takes a few ms, and up to about 250 ms while the store is
+     * slow; a lost connection is detected within this time. */
     CALL_TIMEOUT_MS = 900,
-    /* A page of newest records holds up to 1 MB, which takes 0.8 s of a
-     * 10 Mbit/s link and 4 s of a 2 Mbit/s one.  Each load without an answer
-     * doubles the time that the next one gets, up to the most; with a fixed
-     * 0.9 s weak VMs did not get a page for 5 to 8 s after a restart, and
-     * with 0.9 s at first they lost that time. */
+    /* A page of newest records holds up to 1 MB, which takes 0.8 s on a
+     * 10 Mbit/s link and 4 s on a 2 Mbit/s one.  The timeout doubles, up to
+     * the maximum, after each load without an answer.  With a fixed timeout
+     * of 0.9 s, VMs on slow links received no page for 5 to 8 s after a
+     * restart; a first timeout of 0.9 s was wasted on them. */
     LOAD_TIMEOUT_FIRST_MS = 2000,
-    LOAD_TIMEOUT_MOST_MS = 5000,
-    /* What a 2 Mbit/s link carries well within CALL_TIMEOUT_MS. */
-    READ_MOST_KB = 128,
-    RETRY_FIRST_MS = 100,
-    RETRY_MOST_MS = 800,
-    /* Many VMs share the store's rate of reads.  Refused, a follower reads
-     * less often; each answer halves that again, so that an outage is soon
-     * forgotten. */
-    SLOW_FIRST_MS = 200,
-    SLOW_MOST_MS = 1000
+    LOAD_TIMEOUT_MAX_MS = 5000,
+    /* A 2 Mbit/s link transfers this well within CALL_TIMEOUT_MS. */
+    READ_MAX_KB = 128,
+    RETRY_MIN_MS = 100,
+    RETRY_MAX_MS = 800,
+    /* Many VMs share the store's limit on the rate of reads.  Each refusal
+     * doubles a follower's minimum time between reads; each answer halves it,
+     * so that the normal rate returns soon after an outage. */
+    REFUSED_INTERVAL_MIN_MS = 200,
+    REFUSED_INTERVAL_MAX_MS = 1000
 };
 
 struct cw_follower {
@@ -33,24 +34,24 @@
     bool loading; /* pages of newest records are being read */
     bool loaded;
     bool in_flight;
-    bool hurry;
+    bool read_immediately;
     bool freed;
-    bool away; /* the last call failed; was logged */
+    bool failing; /* the last call failed, which was logged */
     bool at_end;
-    bool waits; /* the read under way waits for a record */
+    bool long_poll; /* the read in flight waits for a record */
     char *after;
-    bool have_start;
-    uint64_t start; /* end of the partition at the first page */
+    bool resume_offset_known;
+    uint64_t resume_offset; /* end of the partition at the load's first page */
     uint64_t position;
     unsigned retry_ms;
-    unsigned slow_ms; /* least time between reads since the last refusal */
+    unsigned refused_interval_ms; /* minimum between reads after refusals */
     unsigned load_timeout_ms;
     struct timespec due;
-    struct timespec sent;
-    struct timespec fresh;
-    struct timespec load_sent; /* the first page of the load under way */
-    unsigned load_pages;       /* of it, answered */
-    unsigned load_records;
+    struct timespec sent_at;
+    struct timespec fresh_as_of;
+    struct timespec load_sent_at; /* request for the load's first page */
+    unsigned load_pages;          /* received in this load */
+    unsigned load_records;        /* received in this load */
 };
 
 struct cw_follower *
@@ -84,11 +85,11 @@
 }
 
 static void
-note_failure(struct cw_follower *follower, enum cw_store_status status,
-             struct timespec now)
+record_failure(struct cw_follower *follower, enum cw_store_status status,
+               struct timespec now)
 {
-    if (!follower->away) {
-        follower->away = true;
+    if (!follower->failing) {
+        follower->failing = true;
         cw_log_warning("dependency_lost",
                        "what=%s status=%s position=%" G_GUINT64_FORMAT,
                        follower->options.name, cw_store_status_name(status),
@@ -96,29 +97,30 @@
     }
     follower->at_end = false;
     if (status == CW_STORE_REFUSED) {
-        follower->slow_ms =
-            CLAMP(follower->slow_ms * 2, SLOW_FIRST_MS, SLOW_MOST_MS);
+        follower->refused_interval_ms =
+            CLAMP(follower->refused_interval_ms * 2, REFUSED_INTERVAL_MIN_MS,
+                  REFUSED_INTERVAL_MAX_MS);
     }
     if (follower->loading && status == CW_STORE_UNKNOWN) {
         follower->load_timeout_ms =
-            MIN(follower->load_timeout_ms * 2, LOAD_TIMEOUT_MOST_MS);
+            MIN(follower->load_timeout_ms * 2, LOAD_TIMEOUT_MAX_MS);
     }
     follower->retry_ms =
-        CLAMP(follower->retry_ms * 2, RETRY_FIRST_MS, RETRY_MOST_MS);
+        CLAMP(follower->retry_ms * 2, RETRY_MIN_MS, RETRY_MAX_MS);
     follower->due = cw_time_add_ms(now, follower->retry_ms);
 }
 
 static void
-note_success(struct cw_follower *follower, struct timespec now)
+record_success(struct cw_follower *follower, struct timespec now)
 {
-    if (follower->away) {
-        follower->away = false;
+    if (follower->failing) {
+        follower->failing = false;
         cw_log_info("dependency_regained", "what=%s away_ms=%" PRId64,
                     follower->options.name,
-                    cw_time_diff_ms(follower->fresh, now));
+                    cw_time_diff_ms(follower->fresh_as_of, now));
     }
     follower->retry_ms = 0;
-    follower->slow_ms /= 2;
+    follower->refused_interval_ms /= 2;
 }
 
 static void
@@ -126,7 +128,7 @@
 {
     follower->loading = true;
     follower->at_end = false;
-    follower->have_start = false;
+    follower->resume_offset_known = false;
     follower->load_pages = 0;
     follower->load_records = 0;
     g_clear_pointer(&follower->after, g_free);
@@ -134,7 +136,7 @@
 }
 
 static void
-give_records(struct cw_follower *follower, const struct cw_store_page *page)
+deliver_records(struct cw_follower *follower, const struct cw_store_page *page)
 {
     const struct cw_follower_handler *handler = &follower->options.handler;
 
@@ -150,15 +152,16 @@
 
     follower->loading = false;
     follower->loaded = true;
-    follower->position = follower->start;
-    /* Pages are no snapshot: what came after the first may be missing. */
-    follower->fresh = follower->load_sent;
+    follower->position = follower->resume_offset;
+    /* Pages are not a snapshot: a record that was appended after the first
+     * page was read may be missing. */
+    follower->fresh_as_of = follower->load_sent_at;
     cw_log_info("loaded",
                 "what=%s pages=%u records=%u position=%" G_GUINT64_FORMAT
                 " took_ms=%" PRId64,
                 follower->options.name, follower->load_pages,
                 follower->load_records, follower->position,
-                cw_time_diff_ms(follower->load_sent,
+                cw_time_diff_ms(follower->load_sent_at,
                                 cw_clock_now(follower->options.clock)));
     if (handler->loaded != NULL) {
         handler->loaded(handler->context);
@@ -177,21 +180,21 @@
         return;
     }
     if (page->status != CW_STORE_OK) {
-        note_failure(follower, page->status, now);
+        record_failure(follower, page->status, now);
         return;
     }
-    note_success(follower, now);
-    if (!follower->have_start) {
-        follower->have_start = true;
-        follower->start = page->end;
-        follower->load_sent = follower->sent;
+    record_success(follower, now);
+    if (!follower->resume_offset_known) {
+        follower->resume_offset_known = true;
+        follower->resume_offset = page->end;
+        follower->load_sent_at = follower->sent_at;
         if (follower->options.handler.reset != NULL) {
             follower->options.handler.reset(follower->options.handler.context);
         }
     }
     follower->load_pages++;
     follower->load_records += (unsigned)page->count;
-    give_records(follower, page);
+    deliver_records(follower, page);
     follower->due = now;
     if (page->more && page->count > 0) {
         g_free(follower->after);
@@ -223,24 +226,26 @@
         return;
     }
     if (page->status != CW_STORE_OK) {
-        note_failure(follower, page->status, now);
+        record_failure(follower, page->status, now);
         return;
     }
-    note_success(follower, now);
-    give_records(follower, page);
+    record_success(follower, now);
+    deliver_records(follower, page);
     if (page->count > 0) {
         follower->position = page->records[page->count - 1].offset + 1;
     }
-    /* An answer holds only so much; through another VM it is little. */
+    /* The size of an answer is limited, most of all through another VM, so
+     * that more records may be left to read. */
     behind = page->count > 0 && follower->position < page->end;
     follower->at_end = !behind;
     if (!behind) {
-        follower->fresh = follower->sent;
+        follower->fresh_as_of = follower->sent_at;
     }
-    follower->due = cw_time_add_ms(
-        now, follower->hurry || behind
-                 ? 0
-                 : MAX(follower->options.read_interval_ms, follower->slow_ms));
+    follower->due =
+        cw_time_add_ms(now, follower->read_immediately || behind
+                                ? 0
+                                : MAX(follower->options.read_interval_ms,
+                                      follower->refused_interval_ms));
     if (handler->advanced != NULL) {
         handler->advanced(handler->context);
     }
@@ -264,23 +269,24 @@
 static void
 send_read(struct cw_follower *follower)
 {
-    /* After a failure the end is not known: a read that waits for records
-     * would tell of it a second later. */
-    unsigned wait_ms =
-        follower->at_end && !follower->hurry ? follower->options.wait_ms : 0;
+    /* After a failure the end of the partition is not known: a read that
+     * waits for records would report it a second later. */
+    unsigned wait_ms = follower->at_end && !follower->read_immediately
+                           ? follower->options.wait_ms
+                           : 0;
     struct cw_store_read call = {
         .topic = follower->options.topic,
         .partition = follower->options.partition,
         .from = follower->position,
         .wait_ms = wait_ms,
-        .most_kb = READ_MOST_KB,
+        .most_kb = READ_MAX_KB,
         .timeout_ms = wait_ms + CALL_TIMEOUT_MS,
         .done = on_read,
         .context = follower,
     };
 
-    follower->hurry = false;
-    follower->waits = wait_ms > 0;
+    follower->read_immediately = false;
+    follower->long_poll = wait_ms > 0;
     follower->options.store->ops->read(follower->options.store, &call);
 }
 
@@ -291,7 +297,7 @@
         return;
     }
     follower->in_flight = true;
-    follower->sent = now;
+    follower->sent_at = now;
     if (follower->loading) {
         send_newest(follower);
     }
@@ -321,7 +327,7 @@
 struct timespec
 cw_follower_fresh_as_of(const struct cw_follower *follower)
 {
-    return follower->fresh;
+    return follower->fresh_as_of;
 }
 
 bool
@@ -333,7 +339,7 @@
 bool
 cw_follower_is_current(const struct cw_follower *follower)
 {
-    return follower->at_end && follower->in_flight && follower->waits;
+    return follower->at_end && follower->in_flight && follower->long_poll;
 }
 
 void
@@ -346,6 +352,6 @@
 void
 cw_follower_read_now(struct cw_follower *follower)
 {
-    follower->hurry = true;
+    follower->read_immediately = true;
     follower->due = cw_time_from_ms(0);
 }
--- a/src/replica/internal/replica_epochs.h
+++ b/src/replica/internal/replica_epochs.h
@@ -1,21 +1,24 @@
-/* Folding the records of epochs: VM -> struct cw_replica_epoch. */
+/* Applies records of epochs to a table: VM -> struct cw_replica_epoch. */
 #ifndef CURLEWCART_REPLICA_EPOCHS_H
 #define CURLEWCART_REPLICA_EPOCHS_H
 
 #include "curlewcart/cw_replica.h"
 
+/* Creates an empty table. */
 GHashTable *replica_epochs_new(void);
 
-/* Folds a record of its kind; returns what it changed, or NULL if it is not
- * newer than what is known, or cannot be read. */
+/* Apply a record of an epoch's begin or end.  Return the entry that changed,
+ * or NULL if the record is not newer than the entry or cannot be decoded. */
 struct cw_replica_epoch *
-replica_epochs_begin(GHashTable *epochs, const struct cw_store_record *record);
+replica_epochs_apply_begin(GHashTable *epochs,
+                           const struct cw_store_record *record);
 struct cw_replica_epoch *
-replica_epochs_end(GHashTable *epochs, const struct cw_store_record *record,
-                   struct timespec now);
+replica_epochs_apply_end(GHashTable *epochs,
+                         const struct cw_store_record *record,
+                         struct timespec now);
 
-/* The key of a CW_WORK_KEY_EPOCH was dropped. */
-void
-replica_epochs_drop(GHashTable *epochs, const struct cw_store_record *record);
+/* Applies a record that drops the key of a CW_WORK_KEY_EPOCH. */
+void replica_epochs_apply_drop(GHashTable *epochs,
+                               const struct cw_store_record *record);
 
 #endif
--- a/src/replica/replica.c
+++ b/src/replica/replica.c
@@ -1,4 +1,4 @@
-/* The fold of a shard's log into its jobs. */
+/* Builds the jobs of a shard from the shard's log of jobs. */
 #include "replica/internal/replica_epochs.h"
 
 #include <inttypes.h>
@@ -15,8 +15,8 @@
     struct cw_replica_listener listener;
     struct cw_clock *clock;
     GHashTable *jobs;
-    GHashTable *notes;  /* worker -> struct cw_replica_lease_note */
-    GHashTable *epochs; /* VM -> struct cw_replica_epoch */
+    GHashTable *lease_notes; /* worker -> struct cw_replica_lease_note */
+    GHashTable *epochs;      /* VM -> struct cw_replica_epoch */
 };
 
 static void
@@ -68,7 +68,7 @@
 }
 
 static void
-tell_changed(struct cw_replica *replica, struct cw_replica_job *job)
+notify_job_changed(struct cw_replica *replica, struct cw_replica_job *job)
 {
     if (replica->listener.job_changed != NULL && job->spec != NULL) {
         replica->listener.job_changed(replica->listener.context, job);
@@ -84,7 +84,7 @@
 
     job = find_or_add(replica, id);
     if (job->spec != NULL) {
-        return; /* the first one stands; this is a repeated submission */
+        return; /* a repeated submission: the first one counts */
     }
     spec = g_new0(struct cw_work_spec, 1);
     if (!cw_xdr_decode((xdrproc_t)xdr_cw_work_spec, spec, record->value,
@@ -97,11 +97,11 @@
     }
     job->spec = spec;
     job->spec_offset = record->offset;
-    tell_changed(replica, job);
+    notify_job_changed(replica, job);
 }
 
-/* Each attempt to cancel has a key of its own, so that the newest records
- * keep all of them; the earliest one counts. */
+/* Each attempt to cancel has a key of its own, so that the newest records of
+ * all keys include all attempts; the earliest one counts. */
 static void
 apply_cancel(struct cw_replica *replica, const char *id,
              const struct cw_store_record *record)
@@ -116,7 +116,7 @@
     if (!job->cancelled || record->offset < job->cancel_offset) {
         job->cancelled = true;
         job->cancel_offset = record->offset;
-        tell_changed(replica, job);
+        notify_job_changed(replica, job);
     }
 }
 
@@ -130,7 +130,7 @@
     if (g_ptr_array_find_with_equal_func(job->hint_keys, record->key,
                                          g_str_equal, NULL))
     {
-        return; /* given again */
+        return; /* delivered again */
     }
     hint = g_new0(struct cw_hint_record, 1);
     g_ptr_array_add(job->hint_keys, g_strdup(record->key));
@@ -149,8 +149,8 @@
 }
 
 static void
-apply_record(struct cw_replica *replica, const char *id,
-             const struct cw_store_record *record)
+apply_state(struct cw_replica *replica, const char *id,
+            const struct cw_store_record *record)
 {
     struct cw_replica_job *job = find_or_add(replica, id);
     struct cw_record_head head;
@@ -193,7 +193,7 @@
 }
 
 static void
-tell_owner_wrote(struct cw_replica *replica)
+notify_owner_record(struct cw_replica *replica)
 {
     if (replica->listener.owner_record_received != NULL) {
         replica->listener.owner_record_received(replica->listener.context);
@@ -201,31 +201,33 @@
 }
 
 static void
-drop_note(struct cw_replica *replica, const struct cw_store_record *record)
+drop_lease_note(struct cw_replica *replica,
+                const struct cw_store_record *record)
 {
     const char *worker = record->key + 1;
     const struct cw_replica_lease_note *note =
-        g_hash_table_lookup(replica->notes, worker);
+        g_hash_table_lookup(replica->lease_notes, worker);
 
     if (note != NULL && note->offset < record->offset) {
-        g_hash_table_remove(replica->notes, worker);
+        g_hash_table_remove(replica->lease_notes, worker);
     }
 }
 
-/* One that is given again keeps the time at which it was read first. */
+/* A note that is delivered again keeps the time at which it was read first. */
 static void
-apply_note(struct cw_replica *replica, const struct cw_store_record *record)
+apply_lease_note(struct cw_replica *replica,
+                 const struct cw_store_record *record)
 {
     const char *worker = record->key + 1;
     const struct cw_replica_lease_note *known =
-        g_hash_table_lookup(replica->notes, worker);
+        g_hash_table_lookup(replica->lease_notes, worker);
     struct cw_note_record value = {0};
     struct cw_replica_lease_note *note;
 
     if (known != NULL && record->offset <= known->offset) {
         return;
     }
-    g_hash_table_remove(replica->notes, worker);
+    g_hash_table_remove(replica->lease_notes, worker);
     if (!cw_xdr_decode((xdrproc_t)xdr_cw_note_record, &value, record->value,
                        record->length))
     {
@@ -237,27 +239,27 @@
     note->offset = record->offset;
     note->read_at = cw_clock_now(replica->clock);
     note->left_ms = value.left_ms;
-    g_hash_table_insert(replica->notes, g_strdup(worker), note);
+    g_hash_table_insert(replica->lease_notes, g_strdup(worker), note);
 }
 
 static void
 apply_epoch(struct cw_replica *replica, const struct cw_store_record *record)
 {
     const struct cw_replica_epoch *epoch =
-        replica_epochs_begin(replica->epochs, record);
+        replica_epochs_apply_begin(replica->epochs, record);
 
     if (epoch != NULL && replica->listener.epoch_began != NULL) {
         replica->listener.epoch_began(replica->listener.context, epoch->epoch);
     }
-    tell_owner_wrote(replica);
+    notify_owner_record(replica);
 }
 
 static void
 apply_epoch_end(struct cw_replica *replica,
                 const struct cw_store_record *record)
 {
-    if (replica_epochs_end(replica->epochs, record,
-                           cw_clock_now(replica->clock)) != NULL &&
+    if (replica_epochs_apply_end(replica->epochs, record,
+                                 cw_clock_now(replica->clock)) != NULL &&
         replica->listener.epoch_ended != NULL)
     {
         replica->listener.epoch_ended(replica->listener.context,
@@ -265,21 +267,22 @@
     }
 }
 
-/* Folds a record of the job `id`. */
+/* Applies a record by the kind in its key; `id` is the job of a job's record.
+ */
 static void
-apply(struct cw_replica *replica, const char *id,
-      const struct cw_store_record *record)
+dispatch_record(struct cw_replica *replica, const char *id,
+                const struct cw_store_record *record)
 {
     if (record->value == NULL || record->length == 0) {
-        /* The owner drops a job's keys together, its state last. */
+        /* The owner drops a job's keys together, the state's key last. */
         if (record->key[0] == CW_WORK_KEY_RECORD) {
             g_hash_table_remove(replica->jobs, id);
         }
         else if (record->key[0] == CW_WORK_KEY_LEASE_NOTE) {
-            drop_note(replica, record);
+            drop_lease_note(replica, record);
         }
         else if (record->key[0] == CW_WORK_KEY_EPOCH) {
-            replica_epochs_drop(replica->epochs, record);
+            replica_epochs_apply_drop(replica->epochs, record);
         }
         return;
     }
@@ -291,14 +294,14 @@
         apply_cancel(replica, id, record);
         break;
     case CW_WORK_KEY_RECORD:
-        apply_record(replica, id, record);
-        tell_owner_wrote(replica);
+        apply_state(replica, id, record);
+        notify_owner_record(replica);
         break;
     case CW_WORK_KEY_VM:
         apply_vm(replica, record);
         break;
     case CW_WORK_KEY_HEARTBEAT:
-        tell_owner_wrote(replica);
+        notify_owner_record(replica);
         break;
     case CW_WORK_KEY_EPOCH:
         apply_epoch(replica, record);
@@ -310,8 +313,8 @@
         apply_hint(replica, id, record);
         break;
     case CW_WORK_KEY_LEASE_NOTE:
-        apply_note(replica, record);
-        tell_owner_wrote(replica);
+        apply_lease_note(replica, record);
+        notify_owner_record(replica);
         break;
     default:
         cw_log_warning("record_unknown", "offset=%" PRIu64, record->offset);
@@ -329,7 +332,7 @@
         return;
     }
     id = g_strndup(record->key + 1, strcspn(record->key + 1, "."));
-    apply(replica, id, record);
+    dispatch_record(replica, id, record);
     g_free(id);
 }
 
@@ -339,14 +342,15 @@
     cw_replica_apply(context, record);
 }
 
-/* Where history was dropped, so may be the record that dropped a note: what is
- * loaded has all that stand. */
+/* Removes all lease notes before a load.  Records that the store no longer
+ * retains may include one that dropped a note; the load delivers all notes
+ * that are in force. */
 static void
 on_reset(void *context)
 {
     struct cw_replica *replica = context;
 
-    g_hash_table_remove_all(replica->notes);
+    g_hash_table_remove_all(replica->lease_notes);
 }
 
 static void
@@ -380,7 +384,7 @@
 
     replica->jobs =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_free);
-    replica->notes =
+    replica->lease_notes =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     replica->epochs = replica_epochs_new();
     replica->clock = options->clock;
@@ -394,7 +398,7 @@
     if (replica != NULL) {
         cw_follower_free(replica->follower);
         g_hash_table_unref(replica->jobs);
-        g_hash_table_unref(replica->notes);
+        g_hash_table_unref(replica->lease_notes);
         g_hash_table_unref(replica->epochs);
         g_free(replica);
     }
@@ -428,7 +432,7 @@
 GHashTable *
 cw_replica_lease_notes(const struct cw_replica *replica)
 {
-    return replica->notes;
+    return replica->lease_notes;
 }
 
 GHashTable *
--- a/src/replica/replica_epochs.c
+++ b/src/replica/replica_epochs.c
@@ -1,5 +1,5 @@
-/* Which VM decided under which epoch, and which of them have said that they
- * extend no lease any more. */
+/* The epochs under which VMs were the owner, and which of these VMs have
+ * recorded that they no longer extend leases. */
 #include "replica/internal/replica_epochs.h"
 
 #include <inttypes.h>
@@ -44,7 +44,8 @@
 }
 
 struct cw_replica_epoch *
-replica_epochs_begin(GHashTable *epochs, const struct cw_store_record *record)
+replica_epochs_apply_begin(GHashTable *epochs,
+                           const struct cw_store_record *record)
 {
     const char *vm = record->key + 1;
     struct cw_replica_epoch *epoch = find_or_add(epochs, vm);
@@ -67,8 +68,9 @@
 }
 
 struct cw_replica_epoch *
-replica_epochs_end(GHashTable *epochs, const struct cw_store_record *record,
-                   struct timespec now)
+replica_epochs_apply_end(GHashTable *epochs,
+                         const struct cw_store_record *record,
+                         struct timespec now)
 {
     const char *vm = record->key + 1;
     struct cw_replica_epoch *epoch = find_or_add(epochs, vm);
@@ -99,7 +101,8 @@
 }
 
 void
-replica_epochs_drop(GHashTable *epochs, const struct cw_store_record *record)
+replica_epochs_apply_drop(GHashTable *epochs,
+                          const struct cw_store_record *record)
 {
     const char *vm = record->key + 1;
     const struct cw_replica_epoch *epoch = g_hash_table_lookup(epochs, vm);
--- a/src/routing/cordons.c
+++ b/src/routing/cordons.c
@@ -1,4 +1,4 @@
-/* Which data centres operators have cordoned, as the store tells. */
+/* The data centres that operators have cordoned, as read from the store. */
 #include "curlewcart/cw_cordons.h"
 
 #include <inttypes.h>
@@ -7,9 +7,9 @@
 #include "curlewcart/cw_log.h"
 
 struct cordon {
-    uint64_t offset; /* of the record that says so */
+    uint64_t offset; /* of the cordon's latest record */
     struct timespec known_at;
-    bool seen; /* in the load under way */
+    bool seen_in_load; /* since the last reset */
 };
 
 struct cw_cordons {
@@ -46,7 +46,7 @@
 }
 
 static void
-tell_changed(const struct cw_cordons *cordons)
+notify_changed(const struct cw_cordons *cordons)
 {
     if (cordons->options.changed != NULL) {
         cordons->options.changed(cordons->options.context);
@@ -68,7 +68,7 @@
 }
 
 static void
-set(struct cw_cordons *cordons, const char *dc, uint64_t offset)
+set_cordon(struct cw_cordons *cordons, const char *dc, uint64_t offset)
 {
     struct cordon *cordon = g_hash_table_lookup(cordons->by_dc, dc);
 
@@ -77,21 +77,21 @@
         cordon->known_at = cw_clock_now(cordons->options.clock);
         g_hash_table_insert(cordons->by_dc, g_strdup(dc), cordon);
         cw_log_info("dc_cordoned", "dc=%s offset=%" PRIu64, dc, offset);
-        tell_changed(cordons);
+        notify_changed(cordons);
     }
     cordon->offset = MAX(cordon->offset, offset);
-    cordon->seen = true;
+    cordon->seen_in_load = true;
 }
 
 static void
-withdraw(struct cw_cordons *cordons, const char *dc, uint64_t offset)
+withdraw_cordon(struct cw_cordons *cordons, const char *dc, uint64_t offset)
 {
     const struct cordon *cordon = g_hash_table_lookup(cordons->by_dc, dc);
 
     if (cordon != NULL && cordon->offset < offset) {
         log_uncordoned(cordons, dc, cordon, "withdrawn");
         g_hash_table_remove(cordons->by_dc, dc);
-        tell_changed(cordons);
+        notify_changed(cordons);
     }
 }
 
@@ -105,10 +105,10 @@
         return;
     }
     if (record->value == NULL || record->length == 0) {
-        withdraw(cordons, dc, record->offset);
+        withdraw_cordon(cordons, dc, record->offset);
     }
     else {
-        set(cordons, dc, record->offset);
+        set_cordon(cordons, dc, record->offset);
     }
 }
 
@@ -121,12 +121,12 @@
 
     g_hash_table_iter_init(&iterator, cordons->by_dc);
     while (g_hash_table_iter_next(&iterator, NULL, &cordon)) {
-        ((struct cordon *)cordon)->seen = false;
+        ((struct cordon *)cordon)->seen_in_load = false;
     }
 }
 
-/* What a load of all keys does not name was withdrawn in history that was
- * dropped. */
+/* Removes the cordons that the load did not deliver: they were withdrawn by
+ * records that the store no longer retains. */
 void
 cw_cordons_loaded(void *context)
 {
@@ -140,18 +140,18 @@
     while (g_hash_table_iter_next(&iterator, &dc, &value)) {
         const struct cordon *cordon = value;
 
-        if (!cordon->seen) {
+        if (!cordon->seen_in_load) {
             log_uncordoned(cordons, dc, cordon, "not_listed");
             g_hash_table_iter_remove(&iterator);
             changed = true;
         }
     }
     if (changed) {
-        tell_changed(cordons);
+        notify_changed(cordons);
     }
 }
 
-/* ---- questions ---- */
+/* ---- queries ---- */
 
 int64_t
 cw_cordons_age_ms(const struct cw_cordons *cordons, const char *dc,
--- a/src/routing/routing.c
+++ b/src/routing/routing.c
@@ -115,7 +115,8 @@
     }
 }
 
-/* True if the Host header `given` names `host`. */
+/* True if the Host header `given` is `host`, with or without a port; an empty
+ * `host` matches any. */
 static bool
 host_matches(const char *host, const char *given)
 {
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -1,4 +1,5 @@
-/* Who may cancel a job, and what those who ask for one are told. */
+/* Tests of cancellations, submissions and queries of callers: a caller can
+ * reach only jobs of its own account and of the queue that it names. */
 #include "test_main.h"
 
 #include <string.h>
@@ -11,19 +12,19 @@
 
 #define ID "5c0e7a21d94b36f8"
 
-enum { STEP_MS = 10, BUDGET_MS = 900, TURNS = 200 };
+enum { STEP_MS = 10, BUDGET_MS = 900, STEPS = 200 };
 
 /* A VM with one queue, two accounts, and a job of the first account. */
-struct bed {
-    struct fake_store port;
+struct fixture {
+    struct fake_store fake;
     struct cw_clock_manual clock;
     struct cw_counters counters;
     struct cw_replica *replica;
     struct cw_routing *routing;
     struct cw_entry *entry;
-    int outcome;   /* -1: no answer yet */
-    unsigned told; /* answers to questions */
-    int phase;     /* the last one; -1: none */
+    int outcome;      /* -1: no answer yet */
+    unsigned answers; /* number of answers to queries */
+    int phase;        /* in the last answer; -1: none */
 };
 
 static void
@@ -47,7 +48,7 @@
 }
 
 static void
-put_job(struct bed *bed)
+store_job(struct fixture *fixture)
 {
     const struct work_spec_options options = {.id = ID, .account = "desk"};
     struct cw_store_record record = {.key = "s" ID};
@@ -57,139 +58,142 @@
 
     record.value = bytes->data;
     record.length = bytes->len;
-    store_model_append(bed->port.model, &append);
+    store_model_append(fixture->fake.model, &append);
     g_byte_array_unref(bytes);
 }
 
 static void
-turn(struct bed *bed)
+step(struct fixture *fixture)
 {
-    bed->clock.now = cw_time_add_ms(bed->clock.now, STEP_MS);
-    cw_follower_tick(cw_replica_follower(bed->replica), bed->clock.now);
-    cw_entry_tick(bed->entry, bed->clock.now);
+    fixture->clock.now = cw_time_add_ms(fixture->clock.now, STEP_MS);
+    cw_follower_tick(cw_replica_follower(fixture->replica),
+                     fixture->clock.now);
+    cw_entry_tick(fixture->entry, fixture->clock.now);
 }
 
 static void
-pass(struct bed *bed)
+run_steps(struct fixture *fixture)
 {
-    for (unsigned i = 0; i < TURNS; i++) {
-        turn(bed);
+    for (unsigned i = 0; i < STEPS; i++) {
+        step(fixture);
     }
 }
 
 static void
-bed_begin(struct bed *bed)
+fixture_begin(struct fixture *fixture)
 {
-    struct cw_replica_options replica = {.store = &bed->port.base,
-                                         .clock = &bed->clock.base};
-    struct cw_entry_options entry = {.store = &bed->port.base,
-                                     .clock = &bed->clock.base};
+    struct cw_replica_options replica = {.store = &fixture->fake.base,
+                                         .clock = &fixture->clock.base};
+    struct cw_entry_options entry = {.store = &fixture->fake.base,
+                                     .clock = &fixture->clock.base};
 
-    memset(bed, 0, sizeof(*bed));
+    memset(fixture, 0, sizeof(*fixture));
     cw_log_setup("error", "test");
-    cw_clock_manual_init(&bed->clock);
-    bed->port.base.ops = &fake_store_ops;
-    bed->port.model = store_model_create(1);
-    bed->replica = cw_replica_create(&replica);
-    bed->routing = cw_routing_new();
-    add_account(bed->routing, "desk", "k1");
-    add_account(bed->routing, "other", "k2");
-    add_queue(bed->routing, "q", "/jobs/");
-    add_queue(bed->routing, "r", "/rest/");
-    cw_routing_finish(bed->routing);
-    entry.replica = bed->replica;
-    entry.counters = &bed->counters;
-    bed->entry = cw_entry_create(&entry);
-    cw_entry_configure(bed->entry, bed->routing);
-    bed->outcome = -1;
+    cw_clock_manual_init(&fixture->clock);
+    fixture->fake.base.ops = &fake_store_ops;
+    fixture->fake.model = store_model_create(1);
+    fixture->replica = cw_replica_create(&replica);
+    fixture->routing = cw_routing_new();
+    add_account(fixture->routing, "desk", "k1");
+    add_account(fixture->routing, "other", "k2");
+    add_queue(fixture->routing, "q", "/jobs/");
+    add_queue(fixture->routing, "r", "/rest/");
+    cw_routing_finish(fixture->routing);
+    entry.replica = fixture->replica;
+    entry.counters = &fixture->counters;
+    fixture->entry = cw_entry_create(&entry);
+    cw_entry_configure(fixture->entry, fixture->routing);
+    fixture->outcome = -1;
 }
 
 static void
-bed_end(struct bed *bed)
+fixture_end(struct fixture *fixture)
 {
-    cw_entry_free(bed->entry);
-    cw_routing_unref(bed->routing);
-    cw_replica_free(bed->replica);
-    store_model_free(bed->port.model);
+    cw_entry_free(fixture->entry);
+    cw_routing_unref(fixture->routing);
+    cw_replica_free(fixture->replica);
+    store_model_free(fixture->fake.model);
 }
 
 static void
 on_done(void *context, enum cw_entry_outcome outcome)
 {
-    ((struct bed *)context)->outcome = (int)outcome;
+    ((struct fixture *)context)->outcome = (int)outcome;
 }
 
 static void
-cancel(struct bed *bed, const char *path, const char *key)
+cancel(struct fixture *fixture, const char *path, const char *key)
 {
-    struct cw_entry_route place;
+    struct cw_entry_route route;
 
     CU_ASSERT_EQUAL_FATAL(
-        cw_entry_resolve(bed->entry, "a.example", path, key, &place), CW_OK);
-    cw_entry_cancel(bed->entry, &place, BUDGET_MS, on_done, bed);
+        cw_entry_resolve(fixture->entry, "a.example", path, key, &route),
+        CW_OK);
+    cw_entry_cancel(fixture->entry, &route, BUDGET_MS, on_done, fixture);
 }
 
 static void
 test_another_accounts_job_is_not_cancelled(void)
 {
-    struct bed bed;
-
-    bed_begin(&bed);
-    put_job(&bed);
-    pass(&bed);
-    cancel(&bed, "/jobs/" ID, "k2");
-    pass(&bed);
-    CU_ASSERT_EQUAL(bed.outcome, CW_ENTRY_NO_JOB);
-    CU_ASSERT_EQUAL(bed.port.appends, 0);
-    bed_end(&bed);
+    struct fixture fixture;
+
+    fixture_begin(&fixture);
+    store_job(&fixture);
+    run_steps(&fixture);
+    cancel(&fixture, "/jobs/" ID, "k2");
+    run_steps(&fixture);
+    CU_ASSERT_EQUAL(fixture.outcome, CW_ENTRY_NO_JOB);
+    CU_ASSERT_EQUAL(fixture.fake.appends, 0);
+    fixture_end(&fixture);
 }
 
-/* The job shows only after the cancellation came. */
+/* Guards against a cancellation whose account is checked only if the job is
+ * known: this job is stored after the request to cancel it has arrived. */
 static void
 test_another_accounts_new_job_is_not_cancelled(void)
 {
-    struct bed bed;
-
-    bed_begin(&bed);
-    cancel(&bed, "/jobs/" ID, "k2");
-    put_job(&bed);
-    pass(&bed);
-    CU_ASSERT_EQUAL(bed.outcome, CW_ENTRY_NO_JOB);
-    CU_ASSERT_EQUAL(bed.port.appends, 0);
-    bed_end(&bed);
+    struct fixture fixture;
+
+    fixture_begin(&fixture);
+    cancel(&fixture, "/jobs/" ID, "k2");
+    store_job(&fixture);
+    run_steps(&fixture);
+    CU_ASSERT_EQUAL(fixture.outcome, CW_ENTRY_NO_JOB);
+    CU_ASSERT_EQUAL(fixture.fake.appends, 0);
+    fixture_end(&fixture);
 }
 
 static void
 test_another_queues_job_is_not_cancelled(void)
 {
-    struct bed bed;
-
-    bed_begin(&bed);
-    put_job(&bed);
-    pass(&bed);
-    cancel(&bed, "/rest/" ID, "k1");
-    pass(&bed);
-    CU_ASSERT_EQUAL(bed.outcome, CW_ENTRY_NO_JOB);
-    CU_ASSERT_EQUAL(bed.port.appends, 0);
-    bed_end(&bed);
+    struct fixture fixture;
+
+    fixture_begin(&fixture);
+    store_job(&fixture);
+    run_steps(&fixture);
+    cancel(&fixture, "/rest/" ID, "k1");
+    run_steps(&fixture);
+    CU_ASSERT_EQUAL(fixture.outcome, CW_ENTRY_NO_JOB);
+    CU_ASSERT_EQUAL(fixture.fake.appends, 0);
+    fixture_end(&fixture);
 }
 
 static void
-test_its_own_new_job_is_cancelled(void)
+test_an_own_new_job_is_cancelled(void)
 {
-    struct bed bed;
-
-    bed_begin(&bed);
-    cancel(&bed, "/jobs/" ID, "k1");
-    put_job(&bed);
-    pass(&bed);
-    CU_ASSERT_EQUAL(bed.outcome, CW_ENTRY_STORED);
-    CU_ASSERT_EQUAL(bed.port.appends, 1);
-    bed_end(&bed);
+    struct fixture fixture;
+
+    fixture_begin(&fixture);
+    cancel(&fixture, "/jobs/" ID, "k1");
+    store_job(&fixture);
+    run_steps(&fixture);
+    CU_ASSERT_EQUAL(fixture.outcome, CW_ENTRY_STORED);
+    CU_ASSERT_EQUAL(fixture.fake.appends, 1);
+    fixture_end(&fixture);
 }
 
 static void
-submit(struct bed *bed, const char *account, uint64_t body_hash)
+submit(struct fixture *fixture, const char *account, uint64_t body_hash)
 {
     struct cw_work_spec *spec = g_new0(struct cw_work_spec, 1);
 
@@ -200,100 +204,103 @@
     spec->request = strdup("");
     spec->payload = strdup("");
     spec->body_hash = body_hash;
-    bed->outcome = -1;
-    cw_entry_submit(bed->entry, spec, BUDGET_MS, on_done, bed);
+    fixture->outcome = -1;
+    cw_entry_submit(fixture->entry, spec, BUDGET_MS, on_done, fixture);
 }
 
-/* The id of another account's job, even with the same body, is taken. */
+/* Guards against a submission that is answered as stored though the job with
+ * its id belongs to another account or has another body. */
 static void
-test_a_job_is_known_only_to_its_own_account(void)
+test_an_id_is_taken_for_other_accounts(void)
 {
-    struct bed bed;
-
-    bed_begin(&bed);
-    put_job(&bed);
-    pass(&bed);
-    submit(&bed, "desk", 0);
-    CU_ASSERT_EQUAL(bed.outcome, CW_ENTRY_STORED);
-    submit(&bed, "desk", 1);
-    CU_ASSERT_EQUAL(bed.outcome, CW_ENTRY_OTHER_JOB);
-    submit(&bed, "other", 0);
-    CU_ASSERT_EQUAL(bed.outcome, CW_ENTRY_OTHER_JOB);
-    CU_ASSERT_EQUAL(bed.port.appends, 0);
-    bed_end(&bed);
+    struct fixture fixture;
+
+    fixture_begin(&fixture);
+    store_job(&fixture);
+    run_steps(&fixture);
+    submit(&fixture, "desk", 0);
+    CU_ASSERT_EQUAL(fixture.outcome, CW_ENTRY_STORED);
+    submit(&fixture, "desk", 1);
+    CU_ASSERT_EQUAL(fixture.outcome, CW_ENTRY_OTHER_JOB);
+    submit(&fixture, "other", 0);
+    CU_ASSERT_EQUAL(fixture.outcome, CW_ENTRY_OTHER_JOB);
+    CU_ASSERT_EQUAL(fixture.fake.appends, 0);
+    fixture_end(&fixture);
 }
 
 static void
-on_told(void *context, enum cw_result result, unsigned phase)
+on_answer(void *context, enum cw_result result, unsigned phase)
 {
-    struct bed *bed = context;
+    struct fixture *fixture = context;
 
-    bed->told++;
-    bed->phase = result == CW_OK ? (int)phase : -1;
+    fixture->answers++;
+    fixture->phase = result == CW_OK ? (int)phase : -1;
 }
 
 static void
-ask(struct bed *bed)
+query(struct fixture *fixture)
 {
-    struct cw_entry_route place;
+    struct cw_entry_route route;
 
-    CU_ASSERT_EQUAL_FATAL(
-        cw_entry_resolve(bed->entry, "a.example", "/jobs/" ID, "k1", &place),
-        CW_OK);
-    cw_entry_query_fresh(bed->entry, &place, on_told, bed);
+    CU_ASSERT_EQUAL_FATAL(cw_entry_resolve(fixture->entry, "a.example",
+                                           "/jobs/" ID, "k1", &route),
+                          CW_OK);
+    cw_entry_query_fresh(fixture->entry, &route, on_answer, fixture);
 }
 
-/* Between two reads another VM may have taken a job, or ended it. */
+/* Guards against an outdated answer: between two reads of this VM another VM
+ * may have stored a job, or recorded its end. */
 static void
-test_a_question_looks_at_the_store_first(void)
+test_a_query_reads_the_store_first(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     unsigned before;
 
-    bed_begin(&bed);
-    pass(&bed);
-    cw_follower_set_read_interval(cw_replica_follower(bed.replica), 60000);
-    pass(&bed); /* the next read is a minute away */
-    put_job(&bed);
-    before = bed.port.reads;
-    ask(&bed);
-    CU_ASSERT_EQUAL(bed.told, 0);
-    turn(&bed);
-    CU_ASSERT_EQUAL(bed.told, 1);
-    CU_ASSERT_EQUAL(bed.phase, CW_WORK_WAITING);
-    CU_ASSERT_EQUAL(bed.port.reads, before + 1);
-    bed_end(&bed);
+    fixture_begin(&fixture);
+    run_steps(&fixture);
+    cw_follower_set_read_interval(cw_replica_follower(fixture.replica), 60000);
+    run_steps(&fixture); /* the next read is due in a minute */
+    store_job(&fixture);
+    before = fixture.fake.reads;
+    query(&fixture);
+    CU_ASSERT_EQUAL(fixture.answers, 0);
+    step(&fixture);
+    CU_ASSERT_EQUAL(fixture.answers, 1);
+    CU_ASSERT_EQUAL(fixture.phase, CW_WORK_WAITING);
+    CU_ASSERT_EQUAL(fixture.fake.reads, before + 1);
+    fixture_end(&fixture);
 }
 
 static void
-test_a_question_is_answered_while_the_store_is_away(void)
+test_a_query_is_answered_while_the_store_is_unavailable(void)
 {
-    struct bed bed;
-
-    bed_begin(&bed);
-    put_job(&bed);
-    pass(&bed);
-    cw_follower_set_read_interval(cw_replica_follower(bed.replica), 60000);
-    pass(&bed);
-    bed.port.answer_status = CW_STORE_REFUSED;
-    ask(&bed);
-    turn(&bed);
-    CU_ASSERT_EQUAL(bed.told, 0);
-    pass(&bed);
-    CU_ASSERT_EQUAL(bed.told, 1);
-    CU_ASSERT_EQUAL(bed.phase, CW_WORK_WAITING);
-    bed_end(&bed);
+    struct fixture fixture;
+
+    fixture_begin(&fixture);
+    store_job(&fixture);
+    run_steps(&fixture);
+    cw_follower_set_read_interval(cw_replica_follower(fixture.replica), 60000);
+    run_steps(&fixture);
+    fixture.fake.answer_status = CW_STORE_REFUSED;
+    query(&fixture);
+    step(&fixture);
+    CU_ASSERT_EQUAL(fixture.answers, 0);
+    run_steps(&fixture);
+    CU_ASSERT_EQUAL(fixture.answers, 1);
+    CU_ASSERT_EQUAL(fixture.phase, CW_WORK_WAITING);
+    fixture_end(&fixture);
 }
 
 static const struct test tests[] = {
-    {"looks first", test_a_question_looks_at_the_store_first},
-    {"store away", test_a_question_is_answered_while_the_store_is_away},
-    {"known", test_a_job_is_known_only_to_its_own_account},
+    {"query reads first", test_a_query_reads_the_store_first},
+    {"query during an outage",
+     test_a_query_is_answered_while_the_store_is_unavailable},
+    {"known", test_an_id_is_taken_for_other_accounts},
     {"another account's job", test_another_accounts_job_is_not_cancelled},
     {"another account's new job",
      test_another_accounts_new_job_is_not_cancelled},
     {"another queue's job", test_another_queues_job_is_not_cancelled},
-    {"its own new job", test_its_own_new_job_is_cancelled},
+    {"own new job", test_an_own_new_job_is_cancelled},
 };
 
 TEST_MAIN("entry", tests)
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -1,4 +1,5 @@
-/* Following a partition: load, read on, load again, slow down when refused. */
+/* Tests of the follower of a partition: it loads, reads on, loads again if
+ * history was dropped, and reads less often after refusals. */
 #include "test_main.h"
 
 #include <string.h>
@@ -7,263 +8,264 @@
 #include "curlewcart/cw_log.h"
 #include "fake_store.h"
 
-struct bed {
-    struct fake_store port;
+struct fixture {
+    struct fake_store fake;
     struct cw_clock_manual clock;
     struct cw_follower *follower;
-    GString *seen; /* keys, in the order given */
+    GString *delivered; /* keys, in the order of delivery */
 };
 
 static void
 on_record(void *context, const struct cw_store_record *record)
 {
-    struct bed *bed = context;
+    struct fixture *fixture = context;
 
-    g_string_append(bed->seen, record->key);
+    g_string_append(fixture->delivered, record->key);
 }
 
 static void
-put(struct bed *bed, const char *key)
+append_record(struct fixture *fixture, const char *key)
 {
     struct cw_store_record record = {.key = key, .value = "v", .length = 1};
     struct cw_store_append append = {
         .topic = "t", .records = &record, .count = 1};
 
-    store_model_append(bed->port.model, &append);
+    store_model_append(fixture->fake.model, &append);
 }
 
-/* Ticks every ms for so long. */
+/* Advances the clock by `ms` and ticks at each millisecond. */
 static void
-pass(struct bed *bed, unsigned ms)
+advance_ms(struct fixture *fixture, unsigned ms)
 {
     for (unsigned i = 0; i < ms; i++) {
-        bed->clock.now = cw_time_add_ms(bed->clock.now, 1);
-        cw_follower_tick(bed->follower, bed->clock.now);
+        fixture->clock.now = cw_time_add_ms(fixture->clock.now, 1);
+        cw_follower_tick(fixture->follower, fixture->clock.now);
     }
 }
 
 static void
-bed_begin(struct bed *bed)
+fixture_begin(struct fixture *fixture)
 {
     struct cw_follower_options options = {
         .name = "test",
-        .store = &bed->port.base,
-        .clock = &bed->clock.base,
+        .store = &fixture->fake.base,
+        .clock = &fixture->clock.base,
         .topic = "t",
         .wait_ms = 500,
         .read_interval_ms = 100,
-        .handler = {.record = on_record, .context = bed}};
+        .handler = {.record = on_record, .context = fixture}};
 
-    memset(bed, 0, sizeof(*bed));
+    memset(fixture, 0, sizeof(*fixture));
     cw_log_setup("error", "test");
-    cw_clock_manual_init(&bed->clock);
-    bed->port.base.ops = &fake_store_ops;
-    bed->port.model = store_model_create(1);
-    bed->seen = g_string_new(NULL);
-    bed->follower = cw_follower_create(&options);
+    cw_clock_manual_init(&fixture->clock);
+    fixture->fake.base.ops = &fake_store_ops;
+    fixture->fake.model = store_model_create(1);
+    fixture->delivered = g_string_new(NULL);
+    fixture->follower = cw_follower_create(&options);
 }
 
 static void
-bed_end(struct bed *bed)
+fixture_end(struct fixture *fixture)
 {
-    cw_follower_free(bed->follower);
-    store_model_free(bed->port.model);
-    g_string_free(bed->seen, TRUE);
+    cw_follower_free(fixture->follower);
+    store_model_free(fixture->fake.model);
+    g_string_free(fixture->delivered, TRUE);
 }
 
 static void
-test_it_loads_and_reads_on(void)
+test_loads_and_reads_on(void)
 {
-    struct bed bed;
+    struct fixture fixture;
 
-    bed_begin(&bed);
-    put(&bed, "a");
-    put(&bed, "b");
-    pass(&bed, 5);
-    CU_ASSERT_TRUE(cw_follower_loaded(bed.follower));
-    CU_ASSERT_STRING_EQUAL(bed.seen->str, "ab");
-    put(&bed, "c");
-    pass(&bed, 110);
-    CU_ASSERT_STRING_EQUAL(bed.seen->str, "abc");
-    CU_ASSERT_EQUAL(cw_follower_position(bed.follower), 3);
-    bed_end(&bed);
+    fixture_begin(&fixture);
+    append_record(&fixture, "a");
+    append_record(&fixture, "b");
+    advance_ms(&fixture, 5);
+    CU_ASSERT_TRUE(cw_follower_loaded(fixture.follower));
+    CU_ASSERT_STRING_EQUAL(fixture.delivered->str, "ab");
+    append_record(&fixture, "c");
+    advance_ms(&fixture, 110);
+    CU_ASSERT_STRING_EQUAL(fixture.delivered->str, "abc");
+    CU_ASSERT_EQUAL(cw_follower_position(fixture.follower), 3);
+    fixture_end(&fixture);
 }
 
 static void
-test_dropped_history_makes_it_load_again(void)
+test_loads_again_if_history_was_dropped(void)
 {
-    struct bed bed;
+    struct fixture fixture;
 
-    bed_begin(&bed);
-    put(&bed, "a");
-    pass(&bed, 5);
-    put(&bed, "b");
-    store_model_compact(bed.port.model, "t");
-    pass(&bed, 250);
-    CU_ASSERT_EQUAL(bed.port.loads, 2);
-    CU_ASSERT_STRING_EQUAL(bed.seen->str, "aab");
-    CU_ASSERT_EQUAL(cw_follower_position(bed.follower), 2);
-    bed_end(&bed);
+    fixture_begin(&fixture);
+    append_record(&fixture, "a");
+    advance_ms(&fixture, 5);
+    append_record(&fixture, "b");
+    store_model_compact(fixture.fake.model, "t");
+    advance_ms(&fixture, 250);
+    CU_ASSERT_EQUAL(fixture.fake.loads, 2);
+    CU_ASSERT_STRING_EQUAL(fixture.delivered->str, "aab");
+    CU_ASSERT_EQUAL(cw_follower_position(fixture.follower), 2);
+    fixture_end(&fixture);
 }
 
 static void
-test_refused_it_reads_less_often_for_a_while(void)
+test_reads_less_often_after_refusals(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     unsigned before;
     unsigned slow;
 
-    bed_begin(&bed);
-    pass(&bed, 1000);
-    before = bed.port.reads; /* ten a second */
-    bed.port.answer_status = CW_STORE_REFUSED;
-    pass(&bed, 2000);
-    bed.port.answer_status = CW_STORE_OK;
-    pass(&bed, 1000);
-    slow = bed.port.reads;
-    pass(&bed, 1000);
-    CU_ASSERT_TRUE(bed.port.reads - slow > 0);
-    CU_ASSERT_TRUE(slow - before < 12); /* three seconds' worth: thirty */
-    pass(&bed, 3000);
-    slow = bed.port.reads;
-    pass(&bed, 1000);
-    CU_ASSERT_TRUE(bed.port.reads - slow >= 9); /* forgotten */
-    bed_end(&bed);
+    fixture_begin(&fixture);
+    advance_ms(&fixture, 1000);
+    before = fixture.fake.reads; /* ten per second */
+    fixture.fake.answer_status = CW_STORE_REFUSED;
+    advance_ms(&fixture, 2000);
+    fixture.fake.answer_status = CW_STORE_OK;
+    advance_ms(&fixture, 1000);
+    slow = fixture.fake.reads;
+    advance_ms(&fixture, 1000);
+    CU_ASSERT_TRUE(fixture.fake.reads - slow > 0);
+    CU_ASSERT_TRUE(slow - before < 12); /* 30 in 3 s without refusals */
+    advance_ms(&fixture, 3000);
+    slow = fixture.fake.reads;
+    advance_ms(&fixture, 1000);
+    CU_ASSERT_TRUE(fixture.fake.reads - slow >= 9); /* the normal rate */
+    fixture_end(&fixture);
 }
 
 static void
-test_in_a_hurry_it_does_not_wait(void)
+test_read_now_does_not_wait_for_records(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     unsigned before;
 
-    bed_begin(&bed);
-    pass(&bed, 50);
-    before = bed.port.reads;
-    cw_follower_read_now(bed.follower);
-    pass(&bed, 1);
-    CU_ASSERT_EQUAL(bed.port.reads, before + 1);
-    CU_ASSERT_EQUAL(bed.port.last_wait_ms, 0);
-    bed_end(&bed);
+    fixture_begin(&fixture);
+    advance_ms(&fixture, 50);
+    before = fixture.fake.reads;
+    cw_follower_read_now(fixture.follower);
+    advance_ms(&fixture, 1);
+    CU_ASSERT_EQUAL(fixture.fake.reads, before + 1);
+    CU_ASSERT_EQUAL(fixture.fake.last_wait_ms, 0);
+    fixture_end(&fixture);
 }
 
-/* What is not read yet may hold anything: a VM that is behind must not say
- * that a job does not exist. */
+/* Guards against a VM that reports that a job does not exist while the record
+ * of the job is among those that it has not read yet. */
 static void
-test_behind_it_is_not_fresh_and_reads_on_at_once(void)
+test_a_truncated_read_is_not_fresh_and_reads_on(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     struct timespec before;
 
-    bed_begin(&bed);
-    pass(&bed, 5);
-    before = cw_follower_fresh_as_of(bed.follower);
-    bed.port.page_records_max = 1;
-    put(&bed, "a");
-    put(&bed, "b");
-    put(&bed, "c");
-    while (cw_follower_position(bed.follower) < 1) {
-        pass(&bed, 1);
+    fixture_begin(&fixture);
+    advance_ms(&fixture, 5);
+    before = cw_follower_fresh_as_of(fixture.follower);
+    fixture.fake.page_records_max = 1;
+    append_record(&fixture, "a");
+    append_record(&fixture, "b");
+    append_record(&fixture, "c");
+    while (cw_follower_position(fixture.follower) < 1) {
+        advance_ms(&fixture, 1);
     }
     CU_ASSERT_EQUAL(
-        cw_time_diff_ms(before, cw_follower_fresh_as_of(bed.follower)), 0);
-    pass(&bed, 3);
-    CU_ASSERT_EQUAL(cw_follower_position(bed.follower), 3);
+        cw_time_diff_ms(before, cw_follower_fresh_as_of(fixture.follower)), 0);
+    advance_ms(&fixture, 3);
+    CU_ASSERT_EQUAL(cw_follower_position(fixture.follower), 3);
     CU_ASSERT_TRUE(
-        cw_time_before(before, cw_follower_fresh_as_of(bed.follower)));
-    bed_end(&bed);
+        cw_time_before(before, cw_follower_fresh_as_of(fixture.follower)));
+    fixture_end(&fixture);
 }
 
 static void
 test_a_load_is_as_fresh_as_its_first_page(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     struct timespec before;
 
-    bed_begin(&bed);
-    put(&bed, "a");
-    pass(&bed, 5);
-    before = cw_follower_fresh_as_of(bed.follower);
-    put(&bed, "b");
-    put(&bed, "c");
-    store_model_compact(bed.port.model, "t");
-    bed.port.page_records_max = 1;
-    while (bed.port.loads < 2) {
-        pass(&bed, 1);
+    fixture_begin(&fixture);
+    append_record(&fixture, "a");
+    advance_ms(&fixture, 5);
+    before = cw_follower_fresh_as_of(fixture.follower);
+    append_record(&fixture, "b");
+    append_record(&fixture, "c");
+    store_model_compact(fixture.fake.model, "t");
+    fixture.fake.page_records_max = 1;
+    while (fixture.fake.loads < 2) {
+        advance_ms(&fixture, 1);
     }
     CU_ASSERT_EQUAL(
-        cw_time_diff_ms(before, cw_follower_fresh_as_of(bed.follower)), 0);
-    pass(&bed, 3);
-    CU_ASSERT_STRING_EQUAL(bed.seen->str, "aabc");
+        cw_time_diff_ms(before, cw_follower_fresh_as_of(fixture.follower)), 0);
+    advance_ms(&fixture, 3);
+    CU_ASSERT_STRING_EQUAL(fixture.delivered->str, "aabc");
     CU_ASSERT_TRUE(
-        cw_time_before(before, cw_follower_fresh_as_of(bed.follower)));
-    bed_end(&bed);
+        cw_time_before(before, cw_follower_fresh_as_of(fixture.follower)));
+    fixture_end(&fixture);
 }
 
-/* A large page on a thin link: every load of one length would fail alike. */
+/* Guards against a VM on a slow link that never loads: with a fixed timeout
+ * every request of a large page would fail. */
 static void
-test_a_load_without_an_answer_gets_more_time(void)
+test_load_timeout_grows_without_answers(void)
 {
-    struct bed bed;
+    struct fixture fixture;
     unsigned first;
 
-    bed_begin(&bed);
-    put(&bed, "a");
-    bed.port.answer_status = CW_STORE_UNKNOWN;
-    pass(&bed, 1);
-    first = bed.port.last_load_timeout_ms;
-    pass(&bed, 5000);
-    CU_ASSERT_TRUE(bed.port.last_load_timeout_ms >= 2 * first);
-    CU_ASSERT_TRUE(bed.port.last_load_timeout_ms >= 5000);
-    bed.port.answer_status = CW_STORE_OK;
-    pass(&bed, 1000);
-    CU_ASSERT_TRUE(cw_follower_loaded(bed.follower));
-    bed_end(&bed);
+    fixture_begin(&fixture);
+    append_record(&fixture, "a");
+    fixture.fake.answer_status = CW_STORE_UNKNOWN;
+    advance_ms(&fixture, 1);
+    first = fixture.fake.last_load_timeout_ms;
+    advance_ms(&fixture, 5000);
+    CU_ASSERT_TRUE(fixture.fake.last_load_timeout_ms >= 2 * first);
+    CU_ASSERT_TRUE(fixture.fake.last_load_timeout_ms >= 5000);
+    fixture.fake.answer_status = CW_STORE_OK;
+    advance_ms(&fixture, 1000);
+    CU_ASSERT_TRUE(cw_follower_loaded(fixture.follower));
+    fixture_end(&fixture);
 }
 
 static void
-test_after_a_failure_it_does_not_wait_for_records(void)
+test_does_not_wait_for_records_after_a_failure(void)
 {
-    struct bed bed;
+    struct fixture fixture;
 
-    bed_begin(&bed);
-    pass(&bed, 200);
-    CU_ASSERT_EQUAL(bed.port.last_wait_ms, 500);
-    CU_ASSERT_TRUE(cw_follower_at_end(bed.follower));
-    bed.port.answer_status = CW_STORE_UNKNOWN;
-    pass(&bed, 500);
-    CU_ASSERT_FALSE(cw_follower_at_end(bed.follower));
-    bed.port.answer_status = CW_STORE_OK;
-    while (!cw_follower_at_end(bed.follower)) {
-        pass(&bed, 1);
+    fixture_begin(&fixture);
+    advance_ms(&fixture, 200);
+    CU_ASSERT_EQUAL(fixture.fake.last_wait_ms, 500);
+    CU_ASSERT_TRUE(cw_follower_at_end(fixture.follower));
+    fixture.fake.answer_status = CW_STORE_UNKNOWN;
+    advance_ms(&fixture, 500);
+    CU_ASSERT_FALSE(cw_follower_at_end(fixture.follower));
+    fixture.fake.answer_status = CW_STORE_OK;
+    while (!cw_follower_at_end(fixture.follower)) {
+        advance_ms(&fixture, 1);
     }
-    CU_ASSERT_EQUAL(bed.port.last_wait_ms, 0);
-    pass(&bed, 300);
-    CU_ASSERT_EQUAL(bed.port.last_wait_ms, 500);
-    bed_end(&bed);
+    CU_ASSERT_EQUAL(fixture.fake.last_wait_ms, 0);
+    advance_ms(&fixture, 300);
+    CU_ASSERT_EQUAL(fixture.fake.last_wait_ms, 500);
+    fixture_end(&fixture);
 }
 
 static void
-test_a_read_asks_for_what_a_thin_link_carries(void)
+test_a_read_is_limited_for_slow_links(void)
 {
-    struct bed bed;
+    struct fixture fixture;
 
-    bed_begin(&bed);
-    pass(&bed, 200);
-    CU_ASSERT_TRUE(bed.port.most_kb > 0 && bed.port.most_kb <= 128);
-    bed_end(&bed);
+    fixture_begin(&fixture);
+    advance_ms(&fixture, 200);
+    CU_ASSERT_TRUE(fixture.fake.most_kb > 0 && fixture.fake.most_kb <= 128);
+    fixture_end(&fixture);
 }
 
 static const struct test tests[] = {
-    {"behind", test_behind_it_is_not_fresh_and_reads_on_at_once},
+    {"truncated read", test_a_truncated_read_is_not_fresh_and_reads_on},
     {"load", test_a_load_is_as_fresh_as_its_first_page},
-    {"load and read on", test_it_loads_and_reads_on},
-    {"dropped history", test_dropped_history_makes_it_load_again},
-    {"refused", test_refused_it_reads_less_often_for_a_while},
-    {"thin link, load", test_a_load_without_an_answer_gets_more_time},
-    {"thin link, read", test_a_read_asks_for_what_a_thin_link_carries},
-    {"after a failure", test_after_a_failure_it_does_not_wait_for_records},
-    {"hurry", test_in_a_hurry_it_does_not_wait},
+    {"load and read on", test_loads_and_reads_on},
+    {"dropped history", test_loads_again_if_history_was_dropped},
+    {"refused", test_reads_less_often_after_refusals},
+    {"slow link, load", test_load_timeout_grows_without_answers},
+    {"slow link, read", test_a_read_is_limited_for_slow_links},
+    {"after a failure", test_does_not_wait_for_records_after_a_failure},
+    {"read now", test_read_now_does_not_wait_for_records},
 };
 
 TEST_MAIN("follower", tests)
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -1,4 +1,5 @@
-/* Calls to the store through another VM, over real sockets on loopback. */
+/* Tests of calls to the store through another VM, over real sockets on the
+ * loopback interface. */
 #include "test_main.h"
 
 #include <poll.h>
@@ -8,21 +9,21 @@
 #include "curlewcart/cw_relay.h"
 #include "fake_store.h"
 
-enum { TURNS_MOST = 400, TURN_MS = 10 };
+enum { STEPS_MAX = 400, STEP_MS = 10 };
 
-/* Two VMs with one store between them. */
+/* Two VMs that share a store. */
 struct pair {
     pthread_mutex_t engine_lock;
     struct cw_clock_manual clock;
     struct cw_counters counters;
     struct store_model *model;
-    struct fake_store ports[2];
+    struct fake_store stores[2];
     struct cw_relay *relays[2];
     char *members[2];
 };
 
 static void
-turn(struct pair *pair)
+step(struct pair *pair)
 {
     struct pollfd wait[2];
 
@@ -30,7 +31,7 @@
         wait[i].fd = cw_relay_descriptor(pair->relays[i]);
         wait[i].events = POLLIN;
     }
-    pair->clock.now = cw_time_add_ms(pair->clock.now, TURN_MS);
+    pair->clock.now = cw_time_add_ms(pair->clock.now, STEP_MS);
     for (int i = 0; i < 2; i++) {
         pthread_mutex_lock(&pair->engine_lock);
         cw_relay_tick(pair->relays[i], pair->clock.now);
@@ -44,7 +45,7 @@
 }
 
 static void
-pair_begin(struct pair *pair)
+pair_init(struct pair *pair)
 {
     memset(pair, 0, sizeof(*pair));
     pthread_mutex_init(&pair->engine_lock, NULL);
@@ -53,7 +54,7 @@
     pair->model = store_model_create(1);
     for (int i = 0; i < 2; i++) {
         struct cw_relay_options options = {
-            .direct = &pair->ports[i].base,
+            .direct = &pair->stores[i].base,
             .clock = &pair->clock.base,
             .counters = &pair->counters,
             .engine_lock = &pair->engine_lock,
@@ -61,23 +62,23 @@
             .group = "g",
         };
 
-        pair->ports[i].base.ops = &fake_store_ops;
-        pair->ports[i].model = pair->model;
+        pair->stores[i].base.ops = &fake_store_ops;
+        pair->stores[i].model = pair->model;
         pair->relays[i] = cw_relay_create(&options);
         CU_ASSERT_PTR_NOT_NULL_FATAL(pair->relays[i]);
         pair->members[i] =
             cw_relay_member_name("vm", cw_relay_address(pair->relays[i]), 1);
     }
-    pair->ports[0].member = pair->members[1];
-    pair->ports[1].member = pair->members[0];
-    /* Long enough for the key and the list of members. */
-    for (int i = 0; i < TURNS_MOST / 2; i++) {
-        turn(pair);
+    pair->stores[0].member = pair->members[1];
+    pair->stores[1].member = pair->members[0];
+    /* Long enough to read the key and the list of members. */
+    for (int i = 0; i < STEPS_MAX / 2; i++) {
+        step(pair);
     }
 }
 
 static void
-pair_end(struct pair *pair)
+pair_clear(struct pair *pair)
 {
     for (int i = 0; i < 2; i++) {
         cw_relay_free(pair->relays[i]);
@@ -88,12 +89,12 @@
 }
 
 static void
-take_status(void *context, const struct cw_store_append_result *result)
+save_status(void *context, const struct cw_store_append_result *result)
 {
     *(int *)context = (int)result->status;
 }
 
-/* Appends at VM 0 and waits for what becomes of it. */
+/* Appends a record at VM 0; returns the status. */
 static int
 append(struct pair *pair)
 {
@@ -104,78 +105,78 @@
                                    .records = &record,
                                    .count = 1,
                                    .timeout_ms = 100,
-                                   .done = take_status,
+                                   .done = save_status,
                                    .context = &status};
 
     store->ops->append(store, &call);
-    for (int i = 0; i < TURNS_MOST && status < 0; i++) {
-        turn(pair);
+    for (int i = 0; i < STEPS_MAX && status < 0; i++) {
+        step(pair);
     }
     return status;
 }
 
 static void
-test_a_vm_that_is_turned_away_goes_through_another(void)
+test_a_vm_that_loses_the_store_uses_another_vm(void)
 {
     struct pair pair;
 
-    pair_begin(&pair);
+    pair_init(&pair);
     CU_ASSERT_EQUAL(append(&pair), CW_STORE_OK);
-    pair.ports[0].answer_status = CW_STORE_REFUSED;
-    CU_ASSERT_EQUAL(append(&pair), CW_STORE_REFUSED); /* once is chance */
+    pair.stores[0].answer_status = CW_STORE_REFUSED;
+    CU_ASSERT_EQUAL(append(&pair), CW_STORE_REFUSED); /* a single refusal */
     CU_ASSERT_EQUAL(append(&pair), CW_STORE_OK);
-    pair.ports[0].answer_status = CW_STORE_UNKNOWN;
+    pair.stores[0].answer_status = CW_STORE_UNKNOWN;
     CU_ASSERT_EQUAL(append(&pair), CW_STORE_OK);
     CU_ASSERT_EQUAL(store_model_end(pair.model, "t"), 3);
     CU_ASSERT_EQUAL(pair.counters.named[CW_COUNT_RELAYED], 2);
     CU_ASSERT_FALSE(cw_relay_is_isolated(pair.relays[0]));
-    pair_end(&pair);
+    pair_clear(&pair);
 }
 
 static void
-test_an_outage_for_all_is_told_as_it_is(void)
+test_an_outage_for_all_vms_is_reported_as_such(void)
 {
     struct pair pair;
 
-    pair_begin(&pair);
-    pair.ports[0].answer_status = CW_STORE_REFUSED;
-    pair.ports[1].answer_status = CW_STORE_REFUSED;
+    pair_init(&pair);
+    pair.stores[0].answer_status = CW_STORE_REFUSED;
+    pair.stores[1].answer_status = CW_STORE_REFUSED;
     CU_ASSERT_EQUAL(append(&pair), CW_STORE_REFUSED);
-    pair.ports[0].answer_status = CW_STORE_UNKNOWN;
+    pair.stores[0].answer_status = CW_STORE_UNKNOWN;
     CU_ASSERT_EQUAL(append(&pair), CW_STORE_UNKNOWN);
-    for (int i = 0; i < TURNS_MOST / 2; i++) {
-        turn(&pair);
+    for (int i = 0; i < STEPS_MAX / 2; i++) {
+        step(&pair);
     }
     CU_ASSERT_FALSE(cw_relay_is_isolated(pair.relays[0]));
-    pair_end(&pair);
+    pair_clear(&pair);
 }
 
 static void
-test_a_vm_that_hears_nobody_is_isolated(void)
+test_a_vm_that_gets_no_answer_is_isolated(void)
 {
     struct pair pair;
 
-    pair_begin(&pair);
-    pair.ports[0].answer_status = CW_STORE_UNKNOWN;
-    /* The other VM is gone; its port answers nothing. */
+    pair_init(&pair);
+    pair.stores[0].answer_status = CW_STORE_UNKNOWN;
+    /* The other VM is gone: there is no answer from its port. */
     cw_relay_free(pair.relays[1]);
     pair.relays[1] = pair.relays[0];
     (void)append(&pair);
-    for (int i = 0; i < TURNS_MOST / 2; i++) {
-        turn(&pair);
+    for (int i = 0; i < STEPS_MAX / 2; i++) {
+        step(&pair);
     }
     CU_ASSERT_TRUE(cw_relay_is_isolated(pair.relays[0]));
-    pair.ports[0].answer_status = CW_STORE_OK;
-    for (int i = 0; i < TURNS_MOST / 2; i++) {
-        turn(&pair);
+    pair.stores[0].answer_status = CW_STORE_OK;
+    for (int i = 0; i < STEPS_MAX / 2; i++) {
+        step(&pair);
     }
     CU_ASSERT_FALSE(cw_relay_is_isolated(pair.relays[0]));
     pair.relays[1] = NULL;
-    pair_end(&pair);
+    pair_clear(&pair);
 }
 
 static void
-take_page(void *context, const struct cw_store_page *page)
+save_page_status(void *context, const struct cw_store_page *page)
 {
     *(int *)context = (int)page->status;
 }
@@ -189,53 +190,55 @@
     struct cw_store_read call = {.topic = "t",
                                  .most_kb = most_kb,
                                  .timeout_ms = 100,
-                                 .done = take_page,
+                                 .done = save_page_status,
                                  .context = &status};
 
     store->ops->read(store, &call);
-    for (int i = 0; i < TURNS_MOST && status < 0; i++) {
-        turn(pair);
+    for (int i = 0; i < STEPS_MAX && status < 0; i++) {
+        step(pair);
     }
     return status;
 }
 
-/* A thin link carries what was asked for in time, and no more. */
+/* Guards against an answer that is larger than a slow link can transfer in
+ * time: the limit of the caller is passed on, or lowered for a datagram. */
 static void
-test_a_read_asks_for_no_more_than_was_wanted(void)
+test_a_relayed_read_is_limited_in_size(void)
 {
     struct pair pair;
 
-    pair_begin(&pair);
+    pair_init(&pair);
     CU_ASSERT_EQUAL(read_some(&pair, 128), CW_STORE_OK);
-    CU_ASSERT_EQUAL(pair.ports[0].most_kb, 128);
-    pair.ports[0].answer_status = CW_STORE_REFUSED;
+    CU_ASSERT_EQUAL(pair.stores[0].most_kb, 128);
+    pair.stores[0].answer_status = CW_STORE_REFUSED;
     (void)read_some(&pair, 128);
     CU_ASSERT_EQUAL(read_some(&pair, 128), CW_STORE_OK);
-    /* The answer's way back is a datagram of 60,000 bytes at the most. */
-    CU_ASSERT_TRUE(pair.ports[1].most_kb > 0 && pair.ports[1].most_kb < 60);
-    pair_end(&pair);
+    /* The answer returns in a datagram of at most 60,000 bytes. */
+    CU_ASSERT_TRUE(pair.stores[1].most_kb > 0 && pair.stores[1].most_kb < 60);
+    pair_clear(&pair);
 }
 
-struct heard {
+struct page_result {
     unsigned times;
     enum cw_store_status status;
 };
 
 static void
-hear_page(void *context, const struct cw_store_page *page)
+count_page(void *context, const struct cw_store_page *page)
 {
-    struct heard *heard = context;
+    struct page_result *page_result = context;
 
-    heard->times++;
-    heard->status = page->status;
+    page_result->times++;
+    page_result->status = page->status;
 }
 
-/* Long enough for calls through the other VM to be answered or given up. */
+/* Runs long enough for calls through the other VM to be answered or to time
+ * out. */
 static void
-settle(struct pair *pair)
+run_all_steps(struct pair *pair)
 {
-    for (int i = 0; i < TURNS_MOST; i++) {
-        turn(pair);
+    for (int i = 0; i < STEPS_MAX; i++) {
+        step(pair);
     }
 }
 
@@ -246,16 +249,16 @@
     (void)result;
 }
 
-/* A read that waits for records, and a join, at VM 0. */
+/* Sends a read that waits for records, and a join, at VM 0. */
 static void
-read_and_join(struct pair *pair, struct heard *heard)
+read_and_join(struct pair *pair, struct page_result *page_result)
 {
     struct cw_store *store = cw_relay_store(pair->relays[0]);
     struct cw_store_read read = {.topic = "t",
                                  .wait_ms = 1000,
                                  .timeout_ms = 1900,
-                                 .done = hear_page,
-                                 .context = heard};
+                                 .done = count_page,
+                                 .context = page_result};
     struct cw_store_join join = {.group = "g",
                                  .member = "m",
                                  .topic = "t",
@@ -266,87 +269,87 @@
     store->ops->join(store, &join);
 }
 
-/* Guards against an owner that takes no job for two seconds: the store fell
- * silent to it alone, its other calls went through another VM after 0.9 s, and
- * the read of jobs, which waits for records, stayed until its own time-out. */
+/* Guards against an owner that receives no job for two seconds.  The store
+ * stopped answering this VM only; its other calls went through another VM
+ * after 0.9 s, but the read of jobs, which waits for records, was in flight
+ * until its own timeout. */
 static void
-test_a_waiting_read_goes_through_another_vm_in_time(void)
+test_a_waiting_read_is_diverted_in_time(void)
 {
-    enum { AIM_MS = 600 };
-    struct heard heard = {0};
+    enum { ANSWERED_WITHIN_MS = 600 };
+    struct page_result page_result = {0};
     struct pair pair;
 
-    pair_begin(&pair);
-    pair.ports[0].withhold_answers = true;
-    read_and_join(&pair, &heard);
-    for (int i = 0; i < AIM_MS / TURN_MS; i++) {
-        turn(&pair);
+    pair_init(&pair);
+    pair.stores[0].withhold_answers = true;
+    read_and_join(&pair, &page_result);
+    for (int i = 0; i < ANSWERED_WITHIN_MS / STEP_MS; i++) {
+        step(&pair);
     }
-    CU_ASSERT_EQUAL(heard.times, 1);
-    CU_ASSERT_EQUAL(heard.status, CW_STORE_OK);
-    fake_store_time_out(&pair.ports[0]); /* answers nobody any more */
-    settle(&pair);
-    CU_ASSERT_EQUAL(heard.times, 1);
-    pair_end(&pair);
+    CU_ASSERT_EQUAL(page_result.times, 1);
+    CU_ASSERT_EQUAL(page_result.status, CW_STORE_OK);
+    fake_store_time_out(&pair.stores[0]); /* no caller is left to answer */
+    run_all_steps(&pair);
+    CU_ASSERT_EQUAL(page_result.times, 1);
+    pair_clear(&pair);
 }
 
-/* Guards against reads that stay on other VMs, and load them, after one answer
- * of the store was lost. */
+/* Guards against reads that go through other VMs, and are load for them, long
+ * after a single answer of the store was lost. */
 static void
-test_reads_come_back_once_the_store_answers(void)
+test_reads_are_direct_again_once_the_store_answers(void)
 {
-    struct heard heard = {0};
+    struct page_result page_result = {0};
     struct pair pair;
     unsigned reads;
 
-    pair_begin(&pair);
-    pair.ports[0].withhold_answers = true;
-    read_and_join(&pair, &heard);
-    for (int i = 0; i < TURNS_MOST / 2; i++) {
-        turn(&pair);
+    pair_init(&pair);
+    pair.stores[0].withhold_answers = true;
+    read_and_join(&pair, &page_result);
+    for (int i = 0; i < STEPS_MAX / 2; i++) {
+        step(&pair);
     }
-    pair.ports[0].withhold_answers = false;
-    fake_store_time_out(&pair.ports[0]);
-    settle(&pair);
-    reads = pair.ports[0].reads;
+    pair.stores[0].withhold_answers = false;
+    fake_store_time_out(&pair.stores[0]);
+    run_all_steps(&pair);
+    reads = pair.stores[0].reads;
     CU_ASSERT_EQUAL(read_some(&pair, 128), CW_STORE_OK);
-    CU_ASSERT_EQUAL(pair.ports[0].reads, reads + 1);
-    pair_end(&pair);
+    CU_ASSERT_EQUAL(pair.stores[0].reads, reads + 1);
+    pair_clear(&pair);
 }
 
-/* Guards against a read that is answered twice, or never, if no other VM has
- * an answer either. */
+/* Guards against a read whose callback is called twice, or never, if the other
+ * VM does not answer either. */
 static void
-test_a_diverted_read_that_nobody_answers_ends_once(void)
+test_a_diverted_read_without_an_answer_ends_once(void)
 {
-    struct heard heard = {0};
+    struct page_result page_result = {0};
     struct pair pair;
 
-    pair_begin(&pair);
-    pair.ports[0].withhold_answers = true;
-    pair.ports[1].withhold_answers = true;
-    read_and_join(&pair, &heard);
-    settle(&pair);
-    CU_ASSERT_EQUAL(heard.times, 1);
-    CU_ASSERT_EQUAL(heard.status, CW_STORE_UNKNOWN);
-    fake_store_time_out(&pair.ports[0]);
-    fake_store_time_out(&pair.ports[1]);
-    settle(&pair);
-    fake_store_time_out(&pair.ports[1]);
-    settle(&pair);
-    CU_ASSERT_EQUAL(heard.times, 1);
-    pair_end(&pair);
+    pair_init(&pair);
+    pair.stores[0].withhold_answers = true;
+    pair.stores[1].withhold_answers = true;
+    read_and_join(&pair, &page_result);
+    run_all_steps(&pair);
+    CU_ASSERT_EQUAL(page_result.times, 1);
+    CU_ASSERT_EQUAL(page_result.status, CW_STORE_UNKNOWN);
+    fake_store_time_out(&pair.stores[0]);
+    fake_store_time_out(&pair.stores[1]);
+    run_all_steps(&pair);
+    fake_store_time_out(&pair.stores[1]);
+    run_all_steps(&pair);
+    CU_ASSERT_EQUAL(page_result.times, 1);
+    pair_clear(&pair);
 }
 
 static const struct test tests[] = {
-    {"waiting read", test_a_waiting_read_goes_through_another_vm_in_time},
-    {"reads come back", test_reads_come_back_once_the_store_answers},
-    {"diverted, no answer",
-     test_a_diverted_read_that_nobody_answers_ends_once},
-    {"small reads", test_a_read_asks_for_no_more_than_was_wanted},
-    {"turned away", test_a_vm_that_is_turned_away_goes_through_another},
-    {"outage", test_an_outage_for_all_is_told_as_it_is},
-    {"isolated", test_a_vm_that_hears_nobody_is_isolated},
+    {"waiting read", test_a_waiting_read_is_diverted_in_time},
+    {"direct again", test_reads_are_direct_again_once_the_store_answers},
+    {"diverted, no answer", test_a_diverted_read_without_an_answer_ends_once},
+    {"limited reads", test_a_relayed_read_is_limited_in_size},
+    {"store lost", test_a_vm_that_loses_the_store_uses_another_vm},
+    {"outage", test_an_outage_for_all_vms_is_reported_as_such},
+    {"isolated", test_a_vm_that_gets_no_answer_is_isolated},
 };
 
 TEST_MAIN("relay", tests)
--- a/tests/test_replica.c
+++ b/tests/test_replica.c
@@ -1,4 +1,5 @@
-/* The fold of a shard's log: order of records decides. */
+/* Tests of the jobs that are built from a shard's log: the order of the
+ * records in the log counts, not the order in which they are read. */
 #include "test_main.h"
 
 #include <string.h>
@@ -45,8 +46,8 @@
 }
 
 static void
-apply_record(struct cw_replica *replica, unsigned phase, bool started,
-             uint64_t offset)
+apply_state(struct cw_replica *replica, unsigned phase, bool started,
+            uint64_t offset)
 {
     struct cw_work_record record = {.phase = phase,
                                     .started = started,
@@ -77,7 +78,7 @@
 }
 
 static void
-test_the_first_specification_stands(void)
+test_the_first_specification_counts(void)
 {
     struct cw_replica *replica = new_replica();
 
@@ -88,19 +89,19 @@
     CU_ASSERT_EQUAL(cw_replica_count_waiting(replica, "q", NULL), 1);
     CU_ASSERT_EQUAL(cw_replica_count_waiting(replica, NULL, "a"), 1);
     CU_ASSERT_EQUAL(cw_replica_count_waiting(replica, NULL, "b"), 0);
-    apply_record(replica, CW_WORK_RUNNING, true, 3);
+    apply_state(replica, CW_WORK_RUNNING, true, 3);
     CU_ASSERT_EQUAL(cw_replica_count_waiting(replica, "q", NULL), 0);
     CU_ASSERT_EQUAL(cw_replica_count_waiting(replica, "other", NULL), 0);
     cw_replica_free(replica);
 }
 
 static void
-test_a_cancellation_counts_before_the_end_only(void)
+test_a_cancellation_counts_only_before_the_end(void)
 {
     struct cw_replica *replica = new_replica();
 
     apply_spec(replica, 1, 1);
-    apply_record(replica, CW_WORK_COMPLETED, true, 2);
+    apply_state(replica, CW_WORK_COMPLETED, true, 2);
     apply_cancel(replica, 3);
     CU_ASSERT_EQUAL(phase_of(replica), CW_WORK_COMPLETED);
     cw_replica_free(replica);
@@ -109,7 +110,7 @@
     apply_spec(replica, 1, 1);
     apply_cancel(replica, 2);
     CU_ASSERT_EQUAL(phase_of(replica), CW_WORK_CANCELLED);
-    apply_record(replica, CW_WORK_COMPLETED, true, 3);
+    apply_state(replica, CW_WORK_COMPLETED, true, 3);
     CU_ASSERT_EQUAL(phase_of(replica), CW_WORK_CANCELLED);
     cw_replica_free(replica);
 }
@@ -120,10 +121,10 @@
     struct cw_replica *replica = new_replica();
 
     apply_spec(replica, 1, 1);
-    apply_record(replica, CW_WORK_COMPLETED, true, 3);
+    apply_state(replica, CW_WORK_COMPLETED, true, 3);
     apply_cancel(replica, 4);
     CU_ASSERT_EQUAL(phase_of(replica), CW_WORK_COMPLETED);
-    apply_cancel(replica, 2); /* as a VM that loads the newest may read it */
+    apply_cancel(replica, 2); /* a load may deliver it after later ones */
     CU_ASSERT_EQUAL(phase_of(replica), CW_WORK_CANCELLED);
     CU_ASSERT_EQUAL(cw_replica_find_job(replica, ID)->cancel_keys->len, 2);
     cw_replica_free(replica);
@@ -135,20 +136,20 @@
     struct cw_replica *replica = new_replica();
 
     apply_spec(replica, 1, 1);
-    apply_record(replica, CW_WORK_COMPLETED, true, 9);
-    apply_record(replica, CW_WORK_RUNNING, true, 5);
+    apply_state(replica, CW_WORK_COMPLETED, true, 9);
+    apply_state(replica, CW_WORK_RUNNING, true, 5);
     CU_ASSERT_EQUAL(phase_of(replica), CW_WORK_COMPLETED);
     CU_ASSERT_EQUAL(cw_replica_find_job(replica, ID)->ended_ms, 5);
     cw_replica_free(replica);
 }
 
 static void
-test_dropping_the_state_forgets_the_job(void)
+test_dropping_the_state_removes_the_job(void)
 {
     struct cw_replica *replica = new_replica();
 
     apply_spec(replica, 1, 1);
-    apply_record(replica, CW_WORK_COMPLETED, true, 2);
+    apply_state(replica, CW_WORK_COMPLETED, true, 2);
     apply(replica, "s" ID, NULL, 3);
     CU_ASSERT_PTR_NOT_NULL(cw_replica_find_job(replica, ID));
     apply(replica, "r" ID, NULL, 4);
@@ -157,7 +158,7 @@
 }
 
 static void
-test_garbage_is_dropped(void)
+test_invalid_records_are_ignored(void)
 {
     struct cw_replica *replica = new_replica();
     GByteArray *bytes = g_byte_array_new();
@@ -175,13 +176,13 @@
 }
 
 static const struct test tests[] = {
-    {"first specification", test_the_first_specification_stands},
-    {"cancellation", test_a_cancellation_counts_before_the_end_only},
+    {"first specification", test_the_first_specification_counts},
+    {"cancellation", test_a_cancellation_counts_only_before_the_end},
     {"earliest cancellation",
      test_the_earliest_cancellation_counts_in_any_order},
     {"older record", test_an_older_record_changes_nothing},
-    {"dropping", test_dropping_the_state_forgets_the_job},
-    {"garbage", test_garbage_is_dropped},
+    {"dropped state", test_dropping_the_state_removes_the_job},
+    {"invalid records", test_invalid_records_are_ignored},
 };
 
 TEST_MAIN("replica", tests)
--- a/tests/test_routing.c
+++ b/tests/test_routing.c
@@ -1,4 +1,4 @@
-/* Lookup of queues and accounts. */
+/* Tests of the lookup of queues and accounts. */
 #include "test_main.h"
 
 #include "curlewcart/cw_routing.h"
@@ -16,7 +16,7 @@
 }
 
 static struct cw_routing *
-example(void)
+new_example(void)
 {
     struct cw_routing *routing = cw_routing_new();
     struct cw_account *account = cw_routing_add_account(routing);
@@ -38,9 +38,9 @@
 }
 
 static void
-test_the_longest_prefix_of_the_host_wins(void)
+test_the_longest_matching_prefix_is_chosen(void)
 {
-    struct cw_routing *routing = example();
+    struct cw_routing *routing = new_example();
 
     CU_ASSERT_STRING_EQUAL(
         name_of(cw_routing_find_queue(routing, "a.example", "/jobs/x")),
@@ -59,9 +59,9 @@
 }
 
 static void
-test_every_key_of_an_account_names_it(void)
+test_every_key_finds_its_account(void)
 {
-    struct cw_routing *routing = example();
+    struct cw_routing *routing = new_example();
     const struct cw_account *account =
         cw_routing_account_by_key(routing, "k2");
 
@@ -72,8 +72,8 @@
 }
 
 static const struct test tests[] = {
-    {"longest prefix", test_the_longest_prefix_of_the_host_wins},
-    {"keys", test_every_key_of_an_account_names_it},
+    {"longest prefix", test_the_longest_matching_prefix_is_chosen},
+    {"keys", test_every_key_finds_its_account},
 };
 
 TEST_MAIN("routing", tests)
