--- a/include/curlewcart/cw_api.h
+++ b/include/curlewcart/cw_api.h
@@ -1,7 +1,8 @@
-/* The project's own interface: requests of client accounts, and what
- * operators ask and sign, over HTTP and JSON (docs/API.md).
+/* The project's own interface over HTTP and JSON: requests of client accounts,
+ * and operators' queries and signed configuration (docs/API.md).
  *
- * Configuration comes as signed bundles that the store keeps. */
+ * The configuration consists of signed bundles, which are kept in the store.
+ */
 #ifndef CURLEWCART_CW_API_H
 #define CURLEWCART_CW_API_H
 
@@ -18,7 +19,7 @@
 struct cw_api_options {
     const char *vm;
     const char *dc;
-    const char *service; /* pool of workers that runs its jobs */
+    const char *service; /* pool of workers that runs the jobs */
     struct cw_clock *clock;
     struct cw_store *store;
     struct cw_entry *entry;
@@ -28,27 +29,30 @@
     pthread_mutex_t *engine_lock;
     struct cw_chain_options chain;
     const unsigned char *operator_token_hash; /* CW_HASH_BYTES */
-    /* A bundle came into force; with the engine's lock held. */
+    /* Called when a bundle comes into force, with the engine's lock held. */
     void (*configured)(void *context, struct cw_routing *routing);
     void *context;
 }; /* all pointers are borrowed */
 
 struct cw_api;
 
+/* Creates the interface.  Strings of `options` are borrowed. */
 struct cw_api *cw_api_create(const struct cw_api_options *options);
 
-/* Handles a call of a caller or operator; takes the engine's lock. */
+/* Handles a call of a caller or an operator.  `api` is a struct cw_api.
+ * Acquires the engine's lock. */
 void cw_api_handle(void *api, struct cw_http_call *call);
 
 /* Answers calls whose outcome is known or whose time is over, and reads
- * bundles; returns when it wants to be called next.  With the engine's lock
- * held. */
+ * bundles.  Returns the time at which to call it again.  Called with the
+ * engine's lock held. */
 struct timespec cw_api_tick(struct cw_api *api, struct timespec now);
 
-/* Calls that wait for an outcome. */
+/* Number of calls that wait for an outcome. */
 unsigned cw_api_waiting_calls(struct cw_api *api);
 
-/* Answers all of them as pending; the VM stops. */
+/* Answers all waiting calls now, as pending unless their outcome is known.
+ * Called when the VM stops. */
 void cw_api_answer_all_pending(struct cw_api *api);
 
 #endif
--- a/include/curlewcart/cw_bytes.h
+++ b/include/curlewcart/cw_bytes.h
@@ -1,10 +1,10 @@
-/* Numbers in byte strings, most significant byte first. */
+/* Big-endian integers in byte strings. */
 #ifndef CURLEWCART_CW_BYTES_H
 #define CURLEWCART_CW_BYTES_H
 
 #include <stdint.h>
 
-/* The number that `count` bytes hold, 8 at the most. */
+/* Reads a big-endian integer of `count` bytes, at most 8. */
 static inline uint64_t
 cw_bytes_read_be(const uint8_t *bytes, unsigned count)
 {
--- a/include/curlewcart/cw_codec.h
+++ b/include/curlewcart/cw_codec.h
@@ -1,4 +1,4 @@
-/* How the platform writes down what the product reads from its store. */
+/* Decoder of the platform's records that the product reads from the store. */
 #ifndef CURLEWCART_CW_CODEC_H
 #define CURLEWCART_CW_CODEC_H
 
@@ -10,19 +10,20 @@
 
 struct cw_codec {
     const char *routing_topic; /* keyed; written by operators */
-    const char *routing_key;   /* of the newest configuration */
+    const char *routing_key;   /* key of the configuration */
     const char *targets_topic; /* keyed; written by workers */
 
-    /* The data centre that a record of the routing topic cordons, by its key;
-     * NULL if the record is of another kind.  Borrowed from `key`. */
+    /* The data centre that a record of the routing topic cordons, taken from
+     * the record's key; NULL if the record is of another kind.  Borrowed from
+     * `key`. */
     const char *(*cordoned_dc)(const char *key);
 
-    /* A new configuration owned by the caller, or NULL if `text` is not
-     * one; then `problem` says why. */
+    /* Decodes a configuration, which the caller then owns.  NULL if `text` is
+     * not a configuration; `problem` then has the reason. */
     struct cw_routing *(*decode_routing)(const void *text, size_t length,
                                          char *problem, size_t size);
 
-    /* Decodes a worker's report and hands it to `take`, which borrows it.
+    /* Decodes a worker's report and passes it to `take`, which borrows it.
      * False if `text` is not a report. */
     bool (*decode_target)(const char *id, const void *text, size_t length,
                           void (*take)(void *context,
--- a/include/curlewcart/cw_http_client.h
+++ b/include/curlewcart/cw_http_client.h
@@ -1,67 +1,71 @@
-/* HTTP requests to workers and the platform, on one thread of its own. */
+/* HTTP client for requests to workers and the platform, with a thread of its
+ * own. */
 #ifndef CURLEWCART_CW_HTTP_CLIENT_H
 #define CURLEWCART_CW_HTTP_CLIENT_H
 
 #include <stdbool.h>
 #include <stddef.h>
 
-/* Connections that a client keeps open unless told otherwise. */
+/* Connections that a client keeps open by default. */
 #define CW_HTTP_POOL_CONNECTIONS_DEFAULT 1024
 
 struct cw_http_client;
 
-/* Result of a request.  status 0: no answer came. */
+/* Result of a request.  A status of 0 means that there was no answer. */
 struct cw_http_result {
     long status;
     bool unsent;      /* no connection was made: the request was never sent */
     const char *body; /* borrowed during the callback */
     size_t length;
-    size_t bytes; /* on the wire, headers included, both ways */
+    size_t bytes; /* sent and received, with headers */
 };
 
-/* Called once for each request, on the client's thread. */
+/* Called exactly once for each request, on the client's thread, unless the
+ * client is freed before. */
 typedef void (*cw_http_done)(void *context,
                              const struct cw_http_result *result);
 
-/* A request; strings and body are copied. */
+/* A request.  Strings and body are copied. */
 struct cw_http_request {
     const char *url;
     const void *body; /* NULL: GET, else POST */
     size_t length;
     const char *content_type;
-    const char *const *headers; /* "Name: value" each, NULL at the end; may
-                                   be NULL itself */
+    const char *const *headers; /* lines "Name: value", terminated by NULL;
+                                   may be NULL */
     long timeout_ms;
     cw_http_done done;
     void *context;
 };
 
-/* What a client does besides requests. */
+/* Options of a client. */
 struct cw_http_client_options {
-    /* Called on the client's thread whenever it wakes; returns after how
-     * many milliseconds it wants to be called again at the latest.  NULL:
-     * none. */
+    /* Called on the client's thread whenever it wakes.  Returns the number of
+     * milliseconds after which it must be called again.  NULL: none. */
     unsigned (*tick)(void *context);
-    /* A descriptor that the thread also waits for, and what it then calls;
-     * `readable` NULL: none. */
+    /* A descriptor that the thread also polls, and the callback for when it
+     * is readable.  NULL: none. */
     int descriptor;
     void (*readable)(void *context);
     void *context;
-    unsigned pool_connections_max; /* kept open; 0:
-                                      CW_HTTP_POOL_CONNECTIONS_DEFAULT */
+    /* Limit of the connections that are kept open; 0:
+     * CW_HTTP_POOL_CONNECTIONS_DEFAULT. */
+    unsigned pool_connections_max;
 };
 
-/* Starts the thread; `options` may be NULL.  NULL on failure. */
+/* Creates a client and starts its thread.  `options` may be NULL.  Returns
+ * NULL on failure. */
 struct cw_http_client *
 cw_http_client_create(const struct cw_http_client_options *options);
 
-/* Makes the thread call its tick soon.  Safe from any thread. */
+/* Makes the thread call `tick` without delay.  Safe from any thread. */
 void cw_http_client_wake(struct cw_http_client *client);
 
-/* Stops the thread; requests under way are given up without a callback. */
+/* Stops the thread and frees the client.  Requests in flight are dropped
+ * without a callback. */
 void cw_http_client_free(struct cw_http_client *client);
 
-/* Queues a request; safe from any thread, never blocks. */
+/* Queues a request.  Safe from any thread; never blocks. */
 void cw_http_client_send(struct cw_http_client *client,
                          const struct cw_http_request *request);
 
--- a/include/curlewcart/cw_record.h
+++ b/include/curlewcart/cw_record.h
@@ -1,14 +1,16 @@
-/* A job's state as the store keeps it.
+/* Encoding of a job's state in the store.
  *
- * Whole for the next owner, and without its tasks for all VMs.  Of the latter
- * every VM reads the head; one that answers for a job of our own interface
- * reads the rest.  Whole, the rest is mostly zeros and repeated names, and is
- * deflated to a quarter (40 tasks with a checkpoint each), which a new owner
- * that reads hundreds of them is spared.
+ * The owner writes a whole record for the next owner, and a record without
+ * the tasks for all VMs.  Every VM reads the head of the latter; a VM that
+ * answers a caller of the project's own interface also reads the rest.  The
+ * rest of a whole record is mostly zeros and repeated names.  It is deflated
+ * to a quarter of its size (with 40 tasks that have a checkpoint each), as a
+ * new owner reads hundreds of records.
  *
- * Crashes that count against tasks come last, and are left out where there
- * are none: such a record has the form that VMs know which count no crashes,
- * and theirs are read as having none. */
+ * The crashes that count against tasks, and the boot times of workers, come
+ * last and are left out if there are none.  Such a record has the format of
+ * versions that count no crashes, and a record of theirs is decoded with empty
+ * lists. */
 #ifndef CURLEWCART_CW_RECORD_H
 #define CURLEWCART_CW_RECORD_H
 
@@ -20,15 +22,15 @@
 
 struct cw_record_head {
     unsigned phase; /* enum cw_work_phase */
-    bool started;   /* a task of it has been started */
+    bool started;   /* a task of the job has been started */
     int64_t ended_ms;
 };
 
-/* Bytes for the store.  Owned by the caller; NULL if the record exceeds a
- * bound of cw_proto.x. */
+/* Encodes a record for the store.  Owned by the caller; NULL if the record
+ * exceeds a limit of cw_proto.x. */
 GByteArray *cw_record_encode(const struct cw_work_record *record);
 
-/* Reads the head alone; false if it is cut short. */
+/* Decodes only the head; false if the bytes are truncated. */
 bool cw_record_read_head(const void *bytes, size_t length,
                          struct cw_record_head *head);
 
--- a/include/curlewcart/cw_request.h
+++ b/include/curlewcart/cw_request.h
@@ -7,28 +7,29 @@
 #include "proto/cw_proto.h"
 #include "curlewcart/cw_result.h"
 
-/* The queue that its jobs belong to. */
+/* The queue that jobs of the project's own interface belong to. */
 #define CW_REQUEST_QUEUE "jobs"
 
-/* A job's id with the end of its text. */
+/* Size of a job's id, with the terminating null character. */
 enum { CW_JOB_ID_SIZE = 17 };
 
-/* Id of the job that an account's request becomes: a hash of both names, so
- * that every VM finds it without asking. */
+/* Id of the job that an account's request becomes.  It is a hash of the
+ * account and the request, so that every VM can compute it. */
 void cw_request_job_id(const char *account, const char *request,
                        char id[CW_JOB_ID_SIZE]);
 
 /* Reads a request from JSON.
  *
  * `account` is the authenticated client account.  On success returns CW_OK
- * and a specification owned by the caller (cw_request_free); its service is
- * empty, its attempts are 1 if it must not be begun again and 0 otherwise.
- * Else returns a refusal code and, in `detail` (size bytes), what was wrong
- * and where. */
+ * and a specification owned by the caller (cw_request_free).  Its service is
+ * empty; its attempts are 1 if it must not be started again, otherwise 0.
+ * On failure returns a refusal code and writes the faulty field and the
+ * expected value into `detail` (`size` bytes). */
 enum cw_result
 cw_request_from_json(const char *text, size_t length, const char *account,
                      struct cw_work_spec **out, char *detail, size_t size);
 
+/* Releases a specification; NULL is allowed. */
 void cw_request_free(struct cw_work_spec *spec);
 
 #endif
--- a/include/curlewcart/cw_work.h
+++ b/include/curlewcart/cw_work.h
@@ -1,4 +1,5 @@
-/* A job of steps: its phase, its codec and its place in the store. */
+/* A job: its phases, the keys of its records in the store, and the checks of
+ * its specification. */
 #ifndef CURLEWCART_CW_WORK_H
 #define CURLEWCART_CW_WORK_H
 
@@ -9,15 +10,15 @@
 #include "proto/cw_proto.h"
 #include "curlewcart/cw_result.h"
 
-/* Where a job stands. */
+/* State of a job. */
 enum cw_work_phase {
     CW_WORK_WAITING = 0,
     CW_WORK_RUNNING = 1,
     CW_WORK_COMPLETED = 2,
     CW_WORK_FAILED = 3,
     CW_WORK_CANCELLED = 4,
-    /* Only jobs of our own interface end in these ways. */
-    CW_WORK_LOST = 5,    /* may have run; must not be begun again */
+    /* Only jobs of the project's own interface end in the following phases. */
+    CW_WORK_LOST = 5,    /* may have run; must not be started again */
     CW_WORK_STOPPED = 6, /* ran in part; the configuration forbids the rest */
     CW_WORK_REFUSED = 7  /* never started, and never will be */
 };
@@ -32,35 +33,39 @@
 /* Name of a phase.  Borrowed, static. */
 const char *cw_work_phase_name(unsigned phase);
 
-/* What a record in the store is about; the first byte of its key.  The rest
- * of the key is the job's id, or the VM's or the worker's name. */
+/* Kind of a record in the store; the first byte of its key.  The rest of the
+ * key is the id of the job, or the name of the VM or the worker. */
 enum cw_work_key {
     CW_WORK_KEY_SPEC = 's',       /* struct cw_work_spec, by any VM */
-    CW_WORK_KEY_CANCEL = 'c',     /* a mark, by any VM; after the id "." and a
-                                     name of the attempt */
+    CW_WORK_KEY_CANCEL = 'c',     /* request to cancel, by any VM; the id is
+                                     followed by "." and a name of the
+                                     attempt */
     CW_WORK_KEY_RECORD = 'r',     /* struct cw_work_record, by the owner */
     CW_WORK_KEY_VM = 'v',         /* struct cw_vm_record, by that VM */
     CW_WORK_KEY_HEARTBEAT = 'b',  /* struct cw_beat_record, by the owner */
     CW_WORK_KEY_LEASE_NOTE = 'n', /* struct cw_note_record, by the owner */
-    CW_WORK_KEY_EPOCH = 'o',      /* struct cw_epoch_record, by that VM as the
-                                     owner */
+    CW_WORK_KEY_EPOCH = 'o',      /* struct cw_epoch_record, by that VM while
+                                     it is the owner */
     CW_WORK_KEY_EPOCH_END = 'e',  /* struct cw_epoch_end_record, by that VM */
     CW_WORK_KEY_HINT = 'h'        /* struct cw_hint_record, by a former owner;
-                                     after the id "." and a name of its own */
+                                     the id is followed by "." and a name of
+                                     the record */
 };
 
-/* Key of a job's record.  Owned by the caller. */
+/* Key of a record, by its kind and the rest of the key.  Owned by the caller.
+ */
 char *cw_work_key(enum cw_work_key kind, const char *id);
 
 /* True if `id` has the form of a job's id: 16 hexadecimal digits. */
 bool cw_work_id_valid(const char *id);
 
-/* Why a job can never be run as it was handed in, or CW_OK; in `detail`
- * which part. */
+/* Checks a submitted specification.  Returns CW_OK, or the reason why the job
+ * can never run, with the faulty part named in `detail`. */
 enum cw_result
 cw_work_check(const struct cw_work_spec *spec, char *detail, size_t size);
 
-/* Milliseconds of the longest chain of steps by the declared estimates. */
+/* Length of the critical path through the steps, that is, the largest sum of
+ * their declared estimates along a chain of dependencies. */
 unsigned cw_work_critical_path_ms(const struct cw_work_spec *spec);
 
 #endif
--- a/src/api/api.c
+++ b/src/api/api.c
@@ -1,9 +1,9 @@
-/* The interface's life: creation, ticks, release. */
+/* Creation and ticks of the interface, and the check of waiting calls. */
 #include "api/internal/api_private.h"
 
 enum {
-    /* Calls whose time is over are answered at this pace at the latest. */
-    SWEEP_MS = 50
+    /* Longest interval between checks of waiting calls for deadlines. */
+    SWEEP_INTERVAL_MS = 50
 };
 
 struct cw_api *
@@ -18,26 +18,30 @@
     return api;
 }
 
-/* A sweep through the calls that wait. */
+/* Context of a sweep through the waiting calls. */
 struct sweep {
     struct cw_api *api;
     struct timespec now;
-    bool last; /* the VM stops */
+    bool answer_all; /* the VM stops */
 };
 
-/* The replica does not know the job: it may not have read so far yet. */
+/* Handles a call for a job that is not in the replica.  The job counts as
+ * unknown only if the replica is as recent as the call; until then the call
+ * waits. */
 static bool
-answer_unseen(const struct sweep *sweep, const struct api_waiter *waiter)
+answer_not_in_replica(const struct sweep *sweep,
+                      const struct api_waiter *waiter)
 {
     struct timespec fresh = cw_follower_fresh_as_of(
         cw_replica_follower(sweep->api->options.replica));
 
-    if (!cw_time_before(fresh, waiter->asked)) {
+    if (!cw_time_before(fresh, waiter->received_at)) {
         api_answer_unknown(waiter->call, waiter->request);
         return true;
     }
-    if (sweep->last ||
-        cw_time_diff_ms(waiter->asked, sweep->now) > API_LOOK_MS) {
+    if (sweep->answer_all ||
+        cw_time_diff_ms(waiter->received_at, sweep->now) > API_CATCH_UP_MAX_MS)
+    {
         cw_count_code(sweep->api->options.counters, CW_REF_NO_LEDGER);
         api_answer_refused(waiter->call, waiter->request, CW_REF_NO_LEDGER,
                            NULL, API_RETRY_MS);
@@ -54,14 +58,14 @@
         cw_replica_find_job(sweep->api->options.replica, waiter->job);
 
     if (job == NULL || job->spec == NULL) {
-        return answer_unseen(sweep, waiter);
+        return answer_not_in_replica(sweep, waiter);
     }
     if (job->record != NULL && cw_work_is_over(job->recorded_phase)) {
         cw_count_add(sweep->api->options.counters, CW_COUNT_ANSWERED, 1);
         api_answer_outcome(waiter->call, job);
         return true;
     }
-    if (sweep->last || !cw_time_before(sweep->now, waiter->deadline)) {
+    if (sweep->answer_all || !cw_time_before(sweep->now, waiter->deadline)) {
         api_answer_pending(waiter->call, waiter->request, true);
         return true;
     }
@@ -69,9 +73,9 @@
 }
 
 static void
-sweep_all(struct cw_api *api, struct timespec now, bool last)
+sweep_all(struct cw_api *api, struct timespec now, bool answer_all)
 {
-    struct sweep sweep = {.api = api, .now = now, .last = last};
+    struct sweep sweep = {.api = api, .now = now, .answer_all = answer_all};
 
     api_waiters_sweep(api->waiters, answer, &sweep);
 }
@@ -88,13 +92,14 @@
     if (api_waiters_count(api->waiters) == 0) {
         return next;
     }
-    /* Nothing can be over that the replica has not read. */
-    if (position != api->looked_at || !cw_time_before(now, api->look_due)) {
-        api->looked_at = position;
-        api->look_due = cw_time_add_ms(now, SWEEP_MS);
+    /* An outcome becomes known only when the replica reads more records. */
+    if (position != api->checked_position ||
+        !cw_time_before(now, api->check_due)) {
+        api->checked_position = position;
+        api->check_due = cw_time_add_ms(now, SWEEP_INTERVAL_MS);
         sweep_all(api, now, false);
     }
-    cw_time_earlier(&next, api->look_due);
+    cw_time_earlier(&next, api->check_due);
     return next;
 }
 
--- a/src/api/api_answer.c
+++ b/src/api/api_answer.c
@@ -104,7 +104,7 @@
     return true;
 }
 
-/* A job whose cancellation came before its end: what it did until then. */
+/* Outcome of a cancelled job, depending on whether it had started. */
 static const char *
 cancelled_name(const struct cw_replica_job *job)
 {
@@ -123,7 +123,7 @@
                                       : cw_work_phase_name(phase);
 }
 
-/* True, false, or null where it is not known. */
+/* Whether the job ran: true, false, or null if that is not known. */
 static json_t *
 ran_value(const char *outcome, const struct cw_work_record *record)
 {
--- a/src/api/api_bundle.c
+++ b/src/api/api_bundle.c
@@ -1,9 +1,9 @@
-/* Signed bundles: kept in the store, offered by operators.
+/* Signed bundles, which operators offer and the store keeps.
  *
- * The store holds one record, the version in force as a whole, sealed with
- * the deployment's key by the VM that checked its signatures.  It is written
- * only where the log still ends where that VM has read to, so that of two
- * changes to one version the first wins. */
+ * The store holds one record: the whole version in force, sealed with the
+ * deployment's key by the VM that checked its signatures.  The VM appends it
+ * on condition that the log still ends at the offset that it has read up to.
+ * So if two changes to the same version compete, the first one wins. */
 #include <inttypes.h>
 #include <string.h>
 #include <sodium.h>
@@ -25,7 +25,8 @@
 /* ---- reading ---- */
 
 static void
-take(struct cw_api *api, const struct cw_bundle_rec *record, uint64_t offset)
+apply_record(struct cw_api *api, const struct cw_bundle_rec *record,
+             uint64_t offset)
 {
     unsigned before = cw_chain_number(api->chain);
     GString *problems = g_string_new(NULL);
@@ -43,7 +44,7 @@
         api->options.configured(api->options.context, routing);
         cw_routing_unref(routing);
     }
-    else if (result != CW_DROP_CONFLICT) { /* read again: nothing new */
+    else if (result != CW_DROP_CONFLICT) { /* a conflict: read before */
         cw_count_code(api->options.counters, result);
         cw_log_error("config_invalid", "offset=%" PRIu64 " reason=\"%s\"",
                      offset, g_strdelimit(problems->str, "\n\"", ' '));
@@ -68,7 +69,7 @@
                      stored->offset);
         return;
     }
-    take(api, &record, stored->offset);
+    apply_record(api, &record, stored->offset);
     xdr_free((xdrproc_t)xdr_cw_bundle_rec, &record);
 }
 
@@ -103,7 +104,7 @@
 }
 
 static void
-store(struct cw_api *api, const struct cw_chain *next)
+store_bundle(struct cw_api *api, const struct cw_chain *next)
 {
     struct cw_bundle_rec whole;
     struct cw_store_record record = {.key = BUNDLE_KEY};
@@ -132,8 +133,8 @@
     xdr_free((xdrproc_t)xdr_cw_bundle_rec, &whole);
 }
 
-/* Checks the change on a chain of its own: what is in force changes only by
- * what the store holds. */
+/* Checks the change on a temporary chain.  The version in force changes only
+ * when the stored record is read. */
 static enum cw_result
 check_and_store(struct cw_api *api, const struct cw_bundle_rec *record,
                 GString *problems)
@@ -149,7 +150,7 @@
     }
     result = cw_chain_apply(next, record, problems);
     if (result == CW_OK) {
-        store(api, next);
+        store_bundle(api, next);
     }
     cw_chain_free(next);
     return result;
@@ -177,7 +178,8 @@
     return ok;
 }
 
-/* The operator's client looks at GET /v1/bundle for the verdict. */
+/* Handles an operator's record.  The operator's client polls GET /v1/bundle to
+ * find out whether the record came into force. */
 void
 api_bundle_offer(struct cw_api *api, struct cw_http_call *call)
 {
--- a/src/api/api_jobs.c
+++ b/src/api/api_jobs.c
@@ -1,25 +1,25 @@
-/* Callers' routes: submit, query, cancel. */
+/* Routes of callers: submit, query and cancel a job. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "api/internal/api_private.h"
 
 static unsigned
-wait_of(struct cw_http_call *call)
+requested_wait_ms(struct cw_http_call *call)
 {
     const char *text = cw_http_call_query(call, "wait_ms");
     long wait = text != NULL ? strtol(text, NULL, 10) : 0;
 
-    return (unsigned)CLAMP(wait, 0, API_WAIT_MOST_MS);
+    return (unsigned)CLAMP(wait, 0, API_WAIT_MAX_MS);
 }
 
-/* A caller's change on its way, or its wait for the outcome. */
+/* A caller's call that is being stored or waits for an outcome. */
 struct job_call {
     struct cw_api *api;
     struct cw_http_call *call;
     char *request; /* the caller's id */
     char job[CW_JOB_ID_SIZE];
-    uint64_t body_hash; /* of a hand-in; 0: none */
+    uint64_t body_hash; /* of a submission; otherwise 0 */
 };
 
 static struct job_call *
@@ -51,16 +51,16 @@
     job_call_free(context);
 }
 
-/* Holds the call until its job is over, or its caller's patience is. */
+/* Makes the call wait for its job to be over, at most `wait_ms`. */
 static void
-hold(const struct job_call *context, unsigned wait_ms)
+wait_for_outcome(const struct job_call *context, unsigned wait_ms)
 {
     struct cw_api *api = context->api;
     struct timespec now = cw_clock_now(api->options.clock);
     struct api_waiter waiter = {
         .call = context->call,
         .request = context->request,
-        .asked = now,
+        .received_at = now,
         .deadline = cw_time_add_ms(now, wait_ms),
     };
 
@@ -68,21 +68,22 @@
     api_waiters_add(api->waiters, &waiter);
 }
 
-/* Answers with the outcome, or holds the call for it as long as its caller
- * wants to wait. */
+/* Answers with the outcome if it is known; otherwise makes the call wait for
+ * as long as its caller requested. */
 static void
 answer_or_wait(struct job_call *context)
 {
     struct cw_api *api = context->api;
     const struct cw_replica_job *job =
         cw_replica_find_job(api->options.replica, context->job);
-    unsigned wait_ms = wait_of(context->call);
+    unsigned wait_ms = requested_wait_ms(context->call);
     bool known = job != NULL && job->spec != NULL;
 
     if (known && context->body_hash != 0 &&
         job->spec->body_hash != context->body_hash)
     {
-        refuse(context, CW_REF_DIFFERS); /* another VM's came first */
+        /* Another VM stored a job with this id first. */
+        refuse(context, CW_REF_DIFFERS);
         return;
     }
     if (known && job->record != NULL && cw_work_is_over(job->recorded_phase)) {
@@ -93,7 +94,7 @@
         api_answer_pending(context->call, context->request, true);
     }
     else {
-        hold(context, wait_ms);
+        wait_for_outcome(context, wait_ms);
     }
     job_call_free(context);
 }
@@ -121,9 +122,9 @@
     }
 }
 
-/* Whether the request can be taken at all. */
+/* Checks limits and whether the job can ever fit; CW_OK or the refusal. */
 static enum cw_result
-admit(struct cw_api *api, struct cw_work_spec *spec)
+check_admission(struct cw_api *api, struct cw_work_spec *spec)
 {
     const struct cw_bundle *bundle = api_bundle(api);
     const struct cw_account_def *account =
@@ -131,7 +132,7 @@
     struct cw_policy_def policy = cw_bundle_policy(bundle);
 
     if (cw_replica_find_job(api->options.replica, spec->id) != NULL) {
-        return CW_OK; /* sent again: it is answered as it was */
+        return CW_OK; /* a repeated request has the same outcome */
     }
     if (account->max_waiting > 0 &&
         cw_replica_count_waiting(api->options.replica, NULL, spec->account) >=
@@ -165,7 +166,7 @@
                                    sizeof(detail));
 
     if (result == CW_OK) {
-        result = admit(api, spec);
+        result = check_admission(api, spec);
     }
     if (result != CW_OK) {
         cw_count_code(api->options.counters, result);
@@ -187,20 +188,21 @@
 
 /* ---- query and cancel ---- */
 
-/* Where a call on a job goes; false if there is no configuration yet. */
+/* Determines queue and account of a call; false if there is no configuration
+ * yet or the account is not in it. */
 static bool
-place_of(struct cw_api *api, const char *account, const char *job,
-         struct cw_entry_route *place)
+find_route(struct cw_api *api, const char *account, const char *job,
+           struct cw_entry_route *route)
 {
     const struct cw_routing *routing = cw_entry_routing(api->options.entry);
 
     if (routing == NULL) {
         return false;
     }
-    place->queue = routing->queues->pdata[0];
-    place->account = cw_routing_account_by_name(routing, account);
-    place->id = job;
-    return place->account != NULL;
+    route->queue = routing->queues->pdata[0];
+    route->account = cw_routing_account_by_name(routing, account);
+    route->id = job;
+    return route->account != NULL;
 }
 
 void
@@ -208,20 +210,20 @@
           const char *request)
 {
     struct job_call *context = job_call_new(api, call, account, request);
-    struct cw_entry_route place = {0};
+    struct cw_entry_route route = {0};
     unsigned phase = 0;
     enum cw_result result = CW_REF_NO_BUNDLE;
 
-    if (place_of(api, account, context->job, &place)) {
-        result = cw_entry_query(api->options.entry, &place, &phase);
+    if (find_route(api, account, context->job, &route)) {
+        result = cw_entry_query(api->options.entry, &route, &phase);
     }
     if (result == CW_OK) {
         answer_or_wait(context);
     }
     else if (result == CW_E_NOT_FOUND) {
-        /* Another VM may have taken it a moment ago. */
+        /* Another VM may have accepted the job a moment ago. */
         cw_follower_read_now(cw_replica_follower(api->options.replica));
-        hold(context, wait_of(call));
+        wait_for_outcome(context, requested_wait_ms(call));
         job_call_free(context);
     }
     else {
@@ -235,8 +237,8 @@
     struct job_call *context = data;
 
     if (outcome == CW_ENTRY_STORED || outcome == CW_ENTRY_NO_JOB) {
-        /* It may have ended before, or never have been. */
-        hold(context, wait_of(context->call));
+        /* The job may have ended before, or may not exist. */
+        wait_for_outcome(context, requested_wait_ms(context->call));
         job_call_free(context);
         return;
     }
@@ -249,12 +251,12 @@
            const char *request)
 {
     struct job_call *context = job_call_new(api, call, account, request);
-    struct cw_entry_route place = {0};
+    struct cw_entry_route route = {0};
 
-    if (!place_of(api, account, context->job, &place)) {
+    if (!find_route(api, account, context->job, &route)) {
         refuse(context, CW_REF_NO_BUNDLE);
         return;
     }
-    cw_entry_cancel(api->options.entry, &place, API_STORE_BUDGET_MS,
+    cw_entry_cancel(api->options.entry, &route, API_STORE_BUDGET_MS,
                     on_cancelled, context);
 }
--- a/src/api/api_ops.c
+++ b/src/api/api_ops.c
@@ -1,4 +1,4 @@
-/* Operators' routes. */
+/* Routes of operators. */
 #include <string.h>
 
 #include "api/internal/api_private.h"
@@ -95,7 +95,7 @@
 
 /* ---- explain ---- */
 
-/* The job of "account/id", or NULL. */
+/* The job named "account/id", or NULL. */
 static const struct cw_replica_job *
 find_named(const struct cw_api *api, const char *key)
 {
@@ -130,8 +130,8 @@
     if (!cw_owner_explain(api->options.owner, job->id,
                           cw_clock_now(api->options.clock), text))
     {
-        g_string_append(text, "another VM decides; ask the one whose status "
-                              "says deciding\n");
+        g_string_append(text, "another VM decides; query the one whose status "
+                              "has deciding=true\n");
     }
 }
 
@@ -158,7 +158,7 @@
     struct cw_work_record record;
 
     if (!api_record(job, &record)) {
-        return; /* it has not begun */
+        return; /* the job has no state yet */
     }
     for (u_int i = 0; i < record.places.places_len; i++) {
         const struct cw_place_record *place = &record.places.places_val[i];
--- a/src/api/api_routes.c
+++ b/src/api/api_routes.c
@@ -1,4 +1,4 @@
-/* Routes and who may use them. */
+/* Routes of the interface, and authentication of callers and operators. */
 #include <string.h>
 #include <sodium.h>
 
@@ -7,7 +7,7 @@
 #define JOBS "/v1/jobs"
 
 static const char *
-bearer_of(struct cw_http_call *call)
+bearer_token(struct cw_http_call *call)
 {
     const char *header = cw_http_call_header(call, "Authorization");
 
@@ -16,14 +16,14 @@
                : NULL;
 }
 
-/* Checks the account and its token; CW_OK or the refusal. */
+/* Checks the account and its token.  Returns CW_OK or the refusal. */
 static enum cw_result
 authenticate(const struct cw_api *api, struct cw_http_call *call,
              const char *account)
 {
     const struct cw_bundle *bundle = api_bundle(api);
     const struct cw_account_def *def;
-    const char *token = bearer_of(call);
+    const char *token = bearer_token(call);
 
     if (bundle == NULL) {
         return CW_REF_NO_BUNDLE;
@@ -41,7 +41,7 @@
 static bool
 is_operator(const struct cw_api *api, struct cw_http_call *call)
 {
-    const char *token = bearer_of(call);
+    const char *token = bearer_token(call);
     unsigned char hash[CW_HASH_BYTES];
 
     if (token == NULL) {
--- a/src/api/api_waiters.c
+++ b/src/api/api_waiters.c
@@ -1,15 +1,15 @@
-/* Calls that wait for an outcome, in shards each under its own lock. */
+/* Calls that wait for an outcome, in shards that each have a lock. */
 #include <string.h>
 
 #include "api/internal/api_private.h"
 
 struct shard {
     pthread_mutex_t lock;
-    GArray *waiting; /* struct api_waiter */
+    GArray *entries; /* struct api_waiter */
 };
 
 struct api_waiters {
-    struct shard shards[WAITER_SHARDS];
+    struct shard shards[API_WAITER_SHARDS];
 };
 
 struct api_waiters *
@@ -17,9 +17,9 @@
 {
     struct api_waiters *waiters = g_new0(struct api_waiters, 1);
 
-    for (int i = 0; i < WAITER_SHARDS; i++) {
+    for (int i = 0; i < API_WAITER_SHARDS; i++) {
         pthread_mutex_init(&waiters->shards[i].lock, NULL);
-        waiters->shards[i].waiting =
+        waiters->shards[i].entries =
             g_array_new(FALSE, FALSE, sizeof(struct api_waiter));
     }
     return waiters;
@@ -29,12 +29,12 @@
 api_waiters_add(struct api_waiters *waiters, const struct api_waiter *waiter)
 {
     struct shard *shard =
-        &waiters->shards[g_str_hash(waiter->job) % WAITER_SHARDS];
+        &waiters->shards[g_str_hash(waiter->job) % API_WAITER_SHARDS];
     struct api_waiter copy = *waiter;
 
     copy.request = g_strdup(waiter->request);
     pthread_mutex_lock(&shard->lock);
-    g_array_append_val(shard->waiting, copy);
+    g_array_append_val(shard->entries, copy);
     pthread_mutex_unlock(&shard->lock);
 }
 
@@ -44,16 +44,16 @@
                                  const struct api_waiter *waiter),
                   void *context)
 {
-    for (int s = 0; s < WAITER_SHARDS; s++) {
+    for (int s = 0; s < API_WAITER_SHARDS; s++) {
         struct shard *shard = &waiters->shards[s];
 
         pthread_mutex_lock(&shard->lock);
-        for (guint i = shard->waiting->len; i-- > 0;) {
+        for (guint i = shard->entries->len; i-- > 0;) {
             struct api_waiter waiter =
-                g_array_index(shard->waiting, struct api_waiter, i);
+                g_array_index(shard->entries, struct api_waiter, i);
 
             if (answer(context, &waiter)) {
-                g_array_remove_index_fast(shard->waiting, i);
+                g_array_remove_index_fast(shard->entries, i);
                 g_free((char *)waiter.request);
             }
         }
@@ -66,9 +66,9 @@
 {
     unsigned count = 0;
 
-    for (int i = 0; i < WAITER_SHARDS; i++) {
+    for (int i = 0; i < API_WAITER_SHARDS; i++) {
         pthread_mutex_lock(&waiters->shards[i].lock);
-        count += waiters->shards[i].waiting->len;
+        count += waiters->shards[i].entries->len;
         pthread_mutex_unlock(&waiters->shards[i].lock);
     }
     return count;
--- a/src/api/internal/api_private.h
+++ b/src/api/internal/api_private.h
@@ -1,4 +1,4 @@
-/* Parts of the project's own interface. */
+/* Declarations that the parts of the project's own interface share. */
 #ifndef API_INTERNAL_API_PRIVATE_H
 #define API_INTERNAL_API_PRIVATE_H
 
@@ -11,11 +11,13 @@
 #include "curlewcart/cw_work.h"
 
 enum {
-    API_WAIT_MOST_MS = 60000, /* longest that a call is held */
-    API_RETRY_MS = 1000,      /* what callers are told to wait */
+    API_WAIT_MAX_MS = 60000, /* limit of the time that a call may wait */
+    API_RETRY_MS = 1000,     /* sent to callers as the delay of a retry */
     API_STORE_BUDGET_MS = 5000,
-    API_LOOK_MS = 1500, /* until the store is read up to a call */
-    WAITER_SHARDS = 16
+    /* A call for a job that the replica doesn't have waits this long for the
+     * replica to be as recent as the call. */
+    API_CATCH_UP_MAX_MS = 1500,
+    API_WAITER_SHARDS = 16
 };
 
 struct api_waiters;
@@ -25,90 +27,112 @@
     struct cw_chain *chain; /* under the engine's lock */
     struct cw_follower *bundles;
     struct api_waiters *waiters;
-    uint64_t looked_at; /* replica's position when waiting calls were last
-                           looked through */
-    struct timespec look_due;
+    /* The replica's position at the last check of waiting calls. */
+    uint64_t checked_position;
+    struct timespec check_due;
 };
 
 /* ---- api_bundle.c ---- */
 
+/* Starts to follow the bundles in the store. */
 void api_bundle_follow(struct cw_api *api);
 
-/* Bundle in force, or NULL.  Borrowed under the engine's lock. */
+/* Bundle in force, or NULL.  Borrowed while the engine's lock is held. */
 struct cw_bundle *api_bundle(const struct cw_api *api);
 
+/* Answers with the bundle in force. */
 void api_bundle_show(struct cw_api *api, struct cw_http_call *call);
+/* Handles a signed bundle record: checks it and appends it to the store. */
 void api_bundle_offer(struct cw_api *api, struct cw_http_call *call);
 
-/* ---- api_jobs.c: callers' routes; the account is authenticated ---- */
+/* ---- api_jobs.c: callers' routes; `account` has been authenticated ---- */
 
+/* Stores a job. */
 void
 api_submit(struct cw_api *api, struct cw_http_call *call, const char *account);
+/* Answers with the outcome of a job, or waits for it. */
 void api_query(struct cw_api *api, struct cw_http_call *call,
                const char *account, const char *request);
+/* Cancels a job. */
 void api_cancel(struct cw_api *api, struct cw_http_call *call,
                 const char *account, const char *request);
 
-/* ---- api_ops.c: operators' routes ---- */
+/* ---- api_ops.c: operators' routes, each with its path ---- */
 
+/* /healthz: whether this VM is ready for calls.  Needs no token. */
 void api_health(struct cw_api *api, struct cw_http_call *call);
+/* /v1/status: state of this VM. */
 void api_status(struct cw_api *api, struct cw_http_call *call);
+/* /v1/workers: the workers that this VM knows as the owner. */
 void api_workers(struct cw_api *api, struct cw_http_call *call);
+/* /v1/accounts: accounts and their guarantees. */
 void api_accounts(struct cw_api *api, struct cw_http_call *call);
+/* /metrics: counters in the format of Prometheus. */
 void api_metrics(struct cw_api *api, struct cw_http_call *call);
+/* /v1/explain: why a job waits, or how it ended. */
 void api_explain(struct cw_api *api, struct cw_http_call *call);
+/* /v1/audit: where jobs have run. */
 void api_audit(struct cw_api *api, struct cw_http_call *call);
 
 /* ---- api_answer.c ---- */
 
+/* Answers with `body` and releases it. */
 void api_answer_json(struct cw_http_call *call, unsigned status, json_t *body,
                      bool close);
 
-/* `request` is the caller's id, or NULL. */
+/* Answers with a refusal.  `request` is the caller's id, or NULL; `detail`
+ * NULL: the text of the code. */
 void
 api_answer_refused(struct cw_http_call *call, const char *request,
                    enum cw_result code, const char *detail, unsigned retry_ms);
 
-/* The outcome of a job that is over. */
+/* Answers with the outcome of a job that is over. */
 void api_answer_outcome(struct cw_http_call *call,
                         const struct cw_replica_job *job);
+/* Answers that the outcome is not known yet.  `durable`: the job is stored. */
 void api_answer_pending(struct cw_http_call *call, const char *request,
                         bool durable);
 
-/* Nobody knows the job. */
+/* Answers that there is no such job. */
 void api_answer_unknown(struct cw_http_call *call, const char *request);
 
-/* Name of the job's outcome for callers; "pending" while it is not over.
+/* Name of the job's outcome for callers; "pending" if it is not over.
  * Borrowed, static. */
 const char *api_outcome_name(const struct cw_replica_job *job);
 
-/* The caller's id within "account/id".  Borrowed. */
+/* The caller's id within "account/id".  Borrowed from `request`. */
 const char *api_request_id(const char *request);
 
-/* Decodes the job's state; false (and logged) if there is none that can be
- * read.  Release with xdr_free. */
+/* Decodes the job's state.  False if there is none, or if it is not valid,
+ * which is logged.  Release with xdr_free. */
 bool api_record(const struct cw_replica_job *job, struct cw_work_record *out);
 
 /* ---- api_waiters.c: calls that wait for an outcome ---- */
 
-/* A call that waits until its job is over, or until its time is. */
+/* A call that waits for its job to be over, until a deadline. */
 struct api_waiter {
     struct cw_http_call *call;
     char job[CW_JOB_ID_SIZE];
-    const char *request;      /* the caller's id; copied */
-    struct timespec asked;    /* what was appended before it must be seen */
-    struct timespec deadline; /* of the caller's patience */
+    const char *request; /* the caller's id; copied */
+    /* Records that were appended before this time must be read before the job
+     * can count as unknown. */
+    struct timespec received_at;
+    struct timespec deadline; /* answered as pending at this time */
 };
 
+/* Creates an empty set. */
 struct api_waiters *api_waiters_create(void);
+/* Adds a copy of `waiter`. */
 void
 api_waiters_add(struct api_waiters *waiters, const struct api_waiter *waiter);
 
-/* Calls `answer` for each; takes out those for which it returns true. */
+/* Calls `answer` for each waiter and removes those for which it returns true.
+ */
 void api_waiters_sweep(struct api_waiters *waiters,
                        bool (*answer)(void *context,
                                       const struct api_waiter *waiter),
                        void *context);
+/* Number of waiters. */
 unsigned api_waiters_count(struct api_waiters *waiters);
 
 #endif
--- a/src/http/http_client.c
+++ b/src/http/http_client.c
@@ -1,10 +1,10 @@
-/* libcurl's multi interface on one thread, fed by a lock-free stack.
+/* libcurl's multi interface on one thread, which takes requests from a
+ * lock-free stack.
  *
- * libcurl finds a kept connection in a table of 97 lists, by its host: with
- * 1,120 workers one such walk was 7.6% of an owner's time, three times as much
- * as with 400.
- * So hosts are spread over several multi handles, the lanes, each with its
- * own table. */
+ * libcurl looks up an open connection by its host in a hash table of 97
+ * buckets, which are lists.  With 1,120 workers the search took 7.6% of an
+ * owner's time, three times as much as with 400.  Hosts are therefore spread
+ * over several multi handles, the lanes, each with its own table. */
 #include "curlewcart/cw_http_client.h"
 
 #include <pthread.h>
@@ -21,19 +21,20 @@
 
 enum {
     CONNECT_TIMEOUT_MS = 1000,
-    POLL_MS = 1000,
-    /* With 3,000 workers a list then holds one host on average. */
+    POLL_MAX_MS = 1000,
+    /* With 3,000 workers a bucket then holds one host on average. */
     LANES = 32,
-    /* Hosts spread unevenly: a lane may keep so much more than its share. */
-    UNEVEN_PARTS = 4,
-    EVEN_PARTS = 3,
-    /* libcurl forgets connections that were idle for longer by itself. */
-    SUSPECT_S = 118,
-    SUSPECTS_MOST = 1024,
+    /* Hosts are not spread evenly, so a lane may keep 4/3 of its share of the
+     * connections. */
+    LANE_SHARE_NUMERATOR = 4,
+    LANE_SHARE_DENOMINATOR = 3,
+    /* libcurl itself doesn't reuse connections that were idle for longer. */
+    LIBCURL_IDLE_MAX_S = 118,
+    SUSPECTS_MAX = 1024,
     ANSWER_BYTES_MAX = 64 * 1024 * 1024
 };
 
-/* One request, queued or under way. */
+/* One request, queued or in flight. */
 struct transfer {
     ck_stack_entry_t entry;
     char *url;
@@ -51,27 +52,27 @@
     GByteArray *answer;
 };
 
-/* A multi handle and when it wants to be called. */
+/* A multi handle and its timer. */
 struct lane {
     struct cw_http_client *client;
     CURLM *multi;
-    bool timed; /* libcurl wants to be called at `timer` */
+    bool timer_set; /* `timer` is set: libcurl is called at this time */
     struct timespec timer;
-    bool ran; /* transfers may have ended since they were taken last */
+    bool may_have_ended; /* transfers may have ended since the last check */
 };
 
 struct cw_http_client {
     struct cw_http_client_options options;
     ck_stack_t queue CK_CC_CACHELINE;
     struct lane lanes[LANES];
-    GArray *lane_of; /* struct lane *, by descriptor */
+    GArray *lane_by_descriptor; /* struct lane *, by descriptor */
     struct http_watch *watch;
     pthread_t thread;
     unsigned stop;
-    GPtrArray *idle;  /* CURL easy handles for reuse */
-    GHashTable *busy; /* struct transfer, a set */
-    /* HOST:PORT -> struct timespec: when a request on a kept connection got
-     * no answer.  The others made before it may be as dead. */
+    GPtrArray *idle;       /* CURL easy handles for reuse */
+    GHashTable *in_flight; /* set of struct transfer in flight */
+    /* HOST:PORT -> struct timespec: when a request on a reused connection last
+     * timed out.  Other connections made before may be dead, too. */
     GHashTable *suspects;
 };
 
@@ -134,7 +135,7 @@
     curl_easy_setopt(easy, CURLOPT_HTTPHEADER, transfer->headers);
 }
 
-/* ---- connections that fell silent ---- */
+/* ---- connections that may be dead ---- */
 
 /* HOST:PORT of a URL.  Owned by the caller. */
 static char *
@@ -147,14 +148,16 @@
 }
 
 static gboolean
-is_forgotten(gpointer host, gpointer since, gpointer now)
+suspicion_expired(gpointer host, gpointer since, gpointer now)
 {
     return cw_time_diff_ms(*(struct timespec *)since,
-                           *(struct timespec *)now) > SUSPECT_S * CW_MS_PER_S;
+                           *(struct timespec *)now) >
+           LIBCURL_IDLE_MAX_S * CW_MS_PER_S;
 }
 
-/* A connection that was kept open gave no answer: those beside it are not
- * used again either, as each would cost one more timeout. */
+/* Called after a timeout.  If the request used a connection that was open
+ * before, the host's other open connections are not reused either, as each
+ * could cost one more timeout. */
 static void
 suspect_host(struct cw_http_client *client, const struct transfer *transfer)
 {
@@ -165,16 +168,18 @@
     if (made > 0) {
         return;
     }
-    g_hash_table_foreach_remove(client->suspects, is_forgotten, &now);
-    if (g_hash_table_size(client->suspects) < SUSPECTS_MOST) {
+    g_hash_table_foreach_remove(client->suspects, suspicion_expired, &now);
+    if (g_hash_table_size(client->suspects) < SUSPECTS_MAX) {
         g_hash_table_replace(client->suspects, host_of(transfer->url),
                              g_memdup2(&now, sizeof(now)));
     }
 }
 
-/* Keeps a transfer off connections made before its host was suspected. */
+/* Makes a transfer avoid connections that are older than the last timeout of
+ * its host. */
 static void
-avoid_suspects(struct cw_http_client *client, struct transfer *transfer)
+avoid_suspect_connections(struct cw_http_client *client,
+                          struct transfer *transfer)
 {
     struct timespec now = cw_clock_now(cw_clock_system());
     char *host;
@@ -190,12 +195,12 @@
     if (since == NULL) {
         return;
     }
-    /* libcurl counts ages in whole seconds, and 0 would mean any age. */
+    /* libcurl measures ages in whole seconds, and 0 means any age. */
     passed_s = cw_time_diff_ms(*since, now) / CW_MS_PER_S;
     if (passed_s < 1) {
         curl_easy_setopt(transfer->easy, CURLOPT_FRESH_CONNECT, 1L);
     }
-    else if (passed_s <= SUSPECT_S) {
+    else if (passed_s <= LIBCURL_IDLE_MAX_S) {
         curl_easy_setopt(transfer->easy, CURLOPT_MAXLIFETIME_CONN,
                          (long)passed_s);
     }
@@ -212,7 +217,7 @@
 }
 
 static void
-begin_transfer(struct cw_http_client *client, struct transfer *transfer)
+start_transfer(struct cw_http_client *client, struct transfer *transfer)
 {
     if (client->idle->len > 0) {
         transfer->easy =
@@ -223,15 +228,16 @@
     }
     g_assert(transfer->easy != NULL);
     set_options(transfer);
-    avoid_suspects(client, transfer);
-    g_hash_table_add(client->busy, transfer);
+    avoid_suspect_connections(client, transfer);
+    g_hash_table_add(client->in_flight, transfer);
     transfer->lane = lane_for(client, transfer->url);
     curl_multi_add_handle(transfer->lane->multi, transfer->easy);
 }
 
-/* The stack gives the newest first; requests keep their order. */
+/* Starts the queued requests, oldest first.  The stack returns them newest
+ * first. */
 static void
-take_queue(struct cw_http_client *client)
+start_queued(struct cw_http_client *client)
 {
     ck_stack_entry_t *entry = ck_stack_batch_pop_upmc(&client->queue);
     ck_stack_entry_t *reversed = NULL;
@@ -247,7 +253,7 @@
     while (reversed != NULL) {
         ck_stack_entry_t *next = reversed->next;
 
-        begin_transfer(client, (struct transfer *)reversed);
+        start_transfer(client, (struct transfer *)reversed);
         reversed = next;
     }
 }
@@ -281,7 +287,7 @@
     else {
         long request_bytes = 0;
 
-        /* Also when the time was over before a connection was made. */
+        /* It is 0 also if the time was over before a connection was made. */
         curl_easy_getinfo(transfer->easy, CURLINFO_REQUEST_SIZE,
                           &request_bytes);
         result.unsent = request_bytes == 0;
@@ -291,20 +297,20 @@
     }
     curl_multi_remove_handle(transfer->lane->multi, transfer->easy);
     g_ptr_array_add(client->idle, transfer->easy);
-    g_hash_table_remove(client->busy, transfer);
+    g_hash_table_remove(client->in_flight, transfer);
     transfer->done(transfer->context, &result);
     transfer_free(transfer);
 }
 
-/* Returns true if any transfer of the lane ended. */
+/* Ends the lane's completed transfers; true if there was any. */
 static bool
-take_ended_of(struct cw_http_client *client, struct lane *lane)
+end_completed_in_lane(struct cw_http_client *client, struct lane *lane)
 {
     CURLMsg *message;
     bool any = false;
     int left;
 
-    lane->ran = false;
+    lane->may_have_ended = false;
     while ((message = curl_multi_info_read(lane->multi, &left)) != NULL) {
         struct transfer *transfer;
 
@@ -319,15 +325,15 @@
     return any;
 }
 
-/* Returns true if any transfer ended. */
+/* Ends completed transfers; true if there was any. */
 static bool
-take_ended(struct cw_http_client *client)
+end_completed(struct cw_http_client *client)
 {
     bool any = false;
 
     for (unsigned i = 0; i < LANES; i++) {
-        if (client->lanes[i].ran) {
-            any = take_ended_of(client, &client->lanes[i]) || any;
+        if (client->lanes[i].may_have_ended) {
+            any = end_completed_in_lane(client, &client->lanes[i]) || any;
         }
     }
     return any;
@@ -336,15 +342,15 @@
 static unsigned
 run_tick(struct cw_http_client *client)
 {
-    unsigned wait_ms = POLL_MS;
+    unsigned wait_ms = POLL_MAX_MS;
 
     if (client->options.tick != NULL) {
         wait_ms = client->options.tick(client->options.context);
     }
-    return MIN(wait_ms, (unsigned)POLL_MS);
+    return MIN(wait_ms, (unsigned)POLL_MAX_MS);
 }
 
-/* ---- what libcurl wants to be woken for ---- */
+/* ---- events and timers for libcurl ---- */
 
 static int
 on_socket(CURL *easy, curl_socket_t socket, int what, void *context,
@@ -355,10 +361,10 @@
 
     (void)easy;
     (void)unused;
-    if (client->lane_of->len <= (guint)socket) {
-        g_array_set_size(client->lane_of, (guint)socket + 1);
+    if (client->lane_by_descriptor->len <= (guint)socket) {
+        g_array_set_size(client->lane_by_descriptor, (guint)socket + 1);
     }
-    g_array_index(client->lane_of, struct lane *, socket) = lane;
+    g_array_index(client->lane_by_descriptor, struct lane *, socket) = lane;
     http_watch_set(client->watch, socket,
                    what == CURL_POLL_IN || what == CURL_POLL_INOUT,
                    what == CURL_POLL_OUT || what == CURL_POLL_INOUT);
@@ -371,16 +377,17 @@
     struct lane *lane = context;
 
     (void)multi;
-    lane->timed = timeout_ms >= 0;
-    if (lane->timed) {
+    lane->timer_set = timeout_ms >= 0;
+    if (lane->timer_set) {
         lane->timer =
             cw_time_add_ms(cw_clock_now(cw_clock_system()), timeout_ms);
     }
     return 0;
 }
 
-/* Lets libcurl begin transfers and end late ones; returns after how many
- * milliseconds it wants that again at the latest. */
+/* Calls libcurl for timers that have expired, by which it begins transfers and
+ * ends late ones.  Returns the time in milliseconds until the next timer, at
+ * most `wait_ms`. */
 static unsigned
 run_timers(struct cw_http_client *client, unsigned wait_ms)
 {
@@ -390,13 +397,13 @@
     for (unsigned i = 0; i < LANES; i++) {
         struct lane *lane = &client->lanes[i];
 
-        if (lane->timed && !cw_time_before(now, lane->timer)) {
-            lane->timed = false;
-            lane->ran = true;
+        if (lane->timer_set && !cw_time_before(now, lane->timer)) {
+            lane->timer_set = false;
+            lane->may_have_ended = true;
             curl_multi_socket_action(lane->multi, CURL_SOCKET_TIMEOUT, 0,
                                      &running);
         }
-        if (lane->timed) {
+        if (lane->timer_set) {
             int64_t left = cw_time_diff_ms(now, lane->timer) + 1;
 
             wait_ms = (unsigned)CLAMP(left, 0, (int64_t)wait_ms);
@@ -406,33 +413,35 @@
 }
 
 static void
-take_news(struct cw_http_client *client, const struct http_watch_news *news)
+handle_event(struct cw_http_client *client,
+             const struct http_watch_event *event)
 {
     struct lane *lane;
     int running;
-    int flags = (news->readable ? CURL_CSELECT_IN : 0) |
-                (news->writable ? CURL_CSELECT_OUT : 0) |
-                (news->broken ? CURL_CSELECT_ERR : 0);
+    int flags = (event->readable ? CURL_CSELECT_IN : 0) |
+                (event->writable ? CURL_CSELECT_OUT : 0) |
+                (event->broken ? CURL_CSELECT_ERR : 0);
 
     if (client->options.readable != NULL &&
-        news->descriptor == client->options.descriptor)
+        event->descriptor == client->options.descriptor)
     {
         client->options.readable(client->options.context);
         return;
     }
-    lane = g_array_index(client->lane_of, struct lane *, news->descriptor);
-    lane->ran = true;
-    curl_multi_socket_action(lane->multi, news->descriptor, flags, &running);
+    lane = g_array_index(client->lane_by_descriptor, struct lane *,
+                         event->descriptor);
+    lane->may_have_ended = true;
+    curl_multi_socket_action(lane->multi, event->descriptor, flags, &running);
 }
 
 static void
-wait_for_news(struct cw_http_client *client, unsigned wait_ms)
+wait_for_events(struct cw_http_client *client, unsigned wait_ms)
 {
-    struct http_watch_news news[HTTP_WATCH_NEWS_MOST];
-    unsigned count = http_watch_wait(client->watch, wait_ms, news);
+    struct http_watch_event ready[HTTP_WATCH_EVENTS_MAX];
+    unsigned count = http_watch_wait(client->watch, wait_ms, ready);
 
     for (unsigned i = 0; i < count; i++) {
-        take_news(client, &news[i]);
+        handle_event(client, &ready[i]);
     }
 }
 
@@ -444,10 +453,10 @@
     while (ck_pr_load_uint(&client->stop) == 0) {
         unsigned wait_ms = run_tick(client);
 
-        take_queue(client);
+        start_queued(client);
         wait_ms = run_timers(client, wait_ms);
-        if (!take_ended(client)) {
-            wait_for_news(client, wait_ms);
+        if (!end_completed(client)) {
+            wait_for_events(client, wait_ms);
         }
     }
     return NULL;
@@ -459,24 +468,25 @@
     for (unsigned i = 0; i < LANES; i++) {
         curl_multi_cleanup(client->lanes[i].multi);
     }
-    g_array_unref(client->lane_of);
+    g_array_unref(client->lane_by_descriptor);
 }
 
-/* Connections that a lane may keep. */
+/* Limit of the connections that a lane keeps open. */
 static long
 lane_connections(const struct cw_http_client *client)
 {
-    long most = client->options.pool_connections_max > 0
-                    ? (long)client->options.pool_connections_max
-                    : (long)CW_HTTP_POOL_CONNECTIONS_DEFAULT;
+    long max = client->options.pool_connections_max > 0
+                   ? (long)client->options.pool_connections_max
+                   : (long)CW_HTTP_POOL_CONNECTIONS_DEFAULT;
 
-    return MAX(1, most * UNEVEN_PARTS / EVEN_PARTS / LANES);
+    return MAX(1, max * LANE_SHARE_NUMERATOR / LANE_SHARE_DENOMINATOR / LANES);
 }
 
 static bool
 open_lanes(struct cw_http_client *client)
 {
-    client->lane_of = g_array_new(FALSE, TRUE, sizeof(struct lane *));
+    client->lane_by_descriptor =
+        g_array_new(FALSE, TRUE, sizeof(struct lane *));
     for (unsigned i = 0; i < LANES; i++) {
         struct lane *lane = &client->lanes[i];
 
@@ -497,7 +507,7 @@
 }
 
 static void
-watch_extra(struct cw_http_client *client)
+watch_extra_descriptor(struct cw_http_client *client)
 {
     if (client->options.readable != NULL) {
         http_watch_set(client->watch, client->options.descriptor, true, false);
@@ -521,9 +531,9 @@
     if (!open_lanes(client)) {
         goto error_watch;
     }
-    watch_extra(client);
+    watch_extra_descriptor(client);
     client->idle = g_ptr_array_new();
-    client->busy = g_hash_table_new(NULL, NULL);
+    client->in_flight = g_hash_table_new(NULL, NULL);
     client->suspects =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     if (pthread_create(&client->thread, NULL, client_main, client) != 0) {
@@ -533,7 +543,7 @@
 
 error_tables:
     g_ptr_array_unref(client->idle);
-    g_hash_table_unref(client->busy);
+    g_hash_table_unref(client->in_flight);
     g_hash_table_unref(client->suspects);
     close_lanes(client);
 error_watch:
@@ -569,7 +579,7 @@
     http_watch_wake(client->watch);
     pthread_join(client->thread, NULL);
     drop_queue(client);
-    g_hash_table_iter_init(&iterator, client->busy);
+    g_hash_table_iter_init(&iterator, client->in_flight);
     while (g_hash_table_iter_next(&iterator, &item, NULL)) {
         struct transfer *transfer = item;
 
@@ -581,7 +591,7 @@
         curl_easy_cleanup(g_ptr_array_index(client->idle, i));
     }
     g_ptr_array_unref(client->idle);
-    g_hash_table_unref(client->busy);
+    g_hash_table_unref(client->in_flight);
     g_hash_table_unref(client->suspects);
     close_lanes(client);
     http_watch_free(client->watch);
@@ -614,7 +624,7 @@
 void
 cw_http_client_wake(struct cw_http_client *client)
 {
-    /* On its own thread the client looks at the queue before it waits. */
+    /* On its own thread the client checks the queue before it waits. */
     if (!pthread_equal(pthread_self(), client->thread)) {
         http_watch_wake(client->watch);
     }
--- a/src/http/http_server.c
+++ b/src/http/http_server.c
@@ -1,4 +1,5 @@
-/* libmicrohttpd with suspended connections. */
+/* HTTP server on libmicrohttpd.  The connection of a call is suspended until
+ * the call is answered. */
 #include "curlewcart/cw_http_server.h"
 
 #include <arpa/inet.h>
@@ -17,11 +18,14 @@
     struct cw_http_server_options options;
     struct MHD_Daemon *daemon;
     uint16_t port;
-    int leaving;    /* read and written with ck_pr */
-    unsigned calls; /* being read, held or answered; with ck_pr */
+    int keepalive_disabled; /* answers close the connection; accessed by ck_pr
+                             */
+    unsigned
+        active_calls; /* being read, handled or answered; accessed by ck_pr */
 };
 
-/* A call, from its headers until its answer was sent. */
+/* A call; it exists from the receipt of its headers until its answer is
+ * sent. */
 struct cw_http_call {
     struct cw_http_server *server;
     struct MHD_Connection *connection;
@@ -100,11 +104,11 @@
         MHD_add_response_header(call->response, MHD_HTTP_HEADER_RETRY_AFTER,
                                 seconds);
     }
-    if (close || ck_pr_load_int(&call->server->leaving) != 0) {
+    if (close || ck_pr_load_int(&call->server->keepalive_disabled) != 0) {
         MHD_add_response_header(call->response, MHD_HTTP_HEADER_CONNECTION,
                                 "close");
     }
-    /* The library's own lock orders this before the next access. */
+    /* The library's lock orders this before the next on_access. */
     CW_TSAN_RELEASE(call);
     MHD_resume_connection(connection);
 }
@@ -120,12 +124,12 @@
     call->method = g_strdup(method);
     call->path = g_strdup(path);
     call->body = g_byte_array_new();
-    ck_pr_inc_uint(&server->calls);
+    ck_pr_inc_uint(&server->active_calls);
     return call;
 }
 
 static void
-call_take_body(struct cw_http_call *call, const char *data, size_t length)
+call_append_body(struct cw_http_call *call, const char *data, size_t length)
 {
     if (call->body->len + length > call->server->options.body_bytes_max) {
         call->too_large = true;
@@ -152,7 +156,7 @@
     }
     CW_TSAN_ACQUIRE(call);
     if (*size > 0) {
-        call_take_body(call, data, *size);
+        call_append_body(call, data, *size);
         *size = 0;
         return MHD_YES;
     }
@@ -182,7 +186,7 @@
     if (call == NULL) {
         return;
     }
-    ck_pr_dec_uint(&server->calls);
+    ck_pr_dec_uint(&server->active_calls);
     if (call->response != NULL) {
         MHD_destroy_response(call->response);
     }
@@ -193,7 +197,7 @@
     *state = NULL;
 }
 
-/* ---- marks of connections ---- */
+/* ---- tags of connections ---- */
 
 static void
 on_connection(void *context, struct MHD_Connection *connection, void **state,
@@ -203,10 +207,10 @@
 
     (void)connection;
     if (code == MHD_CONNECTION_NOTIFY_STARTED) {
-        int64_t *mark = g_new(int64_t, 1);
+        int64_t *tag = g_new(int64_t, 1);
 
-        *mark = server->options.mark(server->options.context);
-        *state = mark;
+        *tag = server->options.tag_connection(server->options.context);
+        *state = tag;
     }
     else {
         g_clear_pointer(state, g_free);
@@ -218,7 +222,7 @@
 {
     const union MHD_ConnectionInfo *info;
 
-    if (call->server->options.mark == NULL) {
+    if (call->server->options.tag_connection == NULL) {
         return 0;
     }
     info = MHD_get_connection_info(call->connection,
@@ -227,7 +231,7 @@
 }
 
 static struct MHD_Daemon *
-start(struct cw_http_server *server, const struct sockaddr_in *address)
+start_daemon(struct cw_http_server *server, const struct sockaddr_in *address)
 {
     const struct cw_http_server_options *o = &server->options;
     unsigned flags =
@@ -238,7 +242,7 @@
         {MHD_OPTION_END, 0, NULL},
     };
     struct MHD_OptionItem none[] = {{MHD_OPTION_END, 0, NULL}};
-    struct MHD_OptionItem marks[] = {
+    struct MHD_OptionItem tags[] = {
         {MHD_OPTION_NOTIFY_CONNECTION, (intptr_t)on_connection, server},
         {MHD_OPTION_END, 0, NULL},
     };
@@ -254,7 +258,7 @@
         MHD_OPTION_NOTIFY_COMPLETED, on_completed, server,
         MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_ARRAY,
         o->tls_certificate != NULL ? tls : none, MHD_OPTION_ARRAY,
-        o->mark != NULL ? marks : none, MHD_OPTION_END);
+        o->tag_connection != NULL ? tags : none, MHD_OPTION_END);
 }
 
 struct cw_http_server *
@@ -269,7 +273,7 @@
     if (inet_pton(AF_INET, options->address, &address.sin_addr) != 1) {
         goto error;
     }
-    server->daemon = start(server, &address);
+    server->daemon = start_daemon(server, &address);
     if (server->daemon == NULL) {
         goto error;
     }
@@ -294,13 +298,14 @@
 void
 cw_http_server_disable_keepalive(struct cw_http_server *server)
 {
-    ck_pr_store_int(&server->leaving, 1);
+    ck_pr_store_int(&server->keepalive_disabled, 1);
 }
 
-/* Connections that the kernel has set up already: their callers may have
- * sent a request, and closing the listener would reset them. */
+/* Accepts the connections that the kernel has already established.  Their
+ * clients may have sent a request, and closing the listener would reset
+ * them. */
 static void
-take_queued_connections(struct cw_http_server *server, MHD_socket listener)
+accept_queued_connections(struct cw_http_server *server, MHD_socket listener)
 {
     struct sockaddr_storage peer;
     socklen_t length = sizeof(peer);
@@ -309,7 +314,7 @@
     while ((connection = accept4(listener, (struct sockaddr *)&peer, &length,
                                  SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0)
     {
-        /* The library closes the connection if it cannot take it. */
+        /* On failure the library closes the connection. */
         if (MHD_add_connection(server->daemon, connection,
                                (struct sockaddr *)&peer, length) != MHD_YES)
         {
@@ -325,7 +330,7 @@
     MHD_socket listener = MHD_quiesce_daemon(server->daemon);
 
     if (listener != MHD_INVALID_SOCKET) {
-        take_queued_connections(server, listener);
+        accept_queued_connections(server, listener);
         (void)close(listener);
     }
 }
@@ -333,7 +338,7 @@
 unsigned
 cw_http_server_active_calls(struct cw_http_server *server)
 {
-    return ck_pr_load_uint(&server->calls);
+    return ck_pr_load_uint(&server->active_calls);
 }
 
 uint16_t
--- a/src/http/http_watch.c
+++ b/src/http/http_watch.c
@@ -1,4 +1,4 @@
-/* An epoll set with a way to be woken. */
+/* An epoll set with an eventfd that wakes its waiter. */
 #include "http/internal/http_watch.h"
 
 #include <errno.h>
@@ -12,8 +12,8 @@
 #include "curlewcart/cw_log.h"
 
 struct http_watch {
-    int set;
-    int wake;
+    int epoll_fd;
+    int wake_fd;
 };
 
 struct http_watch *
@@ -21,25 +21,25 @@
 {
     struct http_watch *watch = g_new0(struct http_watch, 1);
 
-    watch->set = epoll_create1(EPOLL_CLOEXEC);
-    watch->wake = eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
-    if (watch->set < 0 || watch->wake < 0) {
+    watch->epoll_fd = epoll_create1(EPOLL_CLOEXEC);
+    watch->wake_fd = eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
+    if (watch->epoll_fd < 0 || watch->wake_fd < 0) {
         cw_log_error("listen", "address=wake reason=\"%s\"", strerror(errno));
         http_watch_free(watch);
         return NULL;
     }
-    http_watch_set(watch, watch->wake, true, false);
+    http_watch_set(watch, watch->wake_fd, true, false);
     return watch;
 }
 
 void
 http_watch_free(struct http_watch *watch)
 {
-    if (watch->set >= 0) {
-        close(watch->set);
+    if (watch->epoll_fd >= 0) {
+        close(watch->epoll_fd);
     }
-    if (watch->wake >= 0) {
-        close(watch->wake);
+    if (watch->wake_fd >= 0) {
+        close(watch->wake_fd);
     }
     g_free(watch);
 }
@@ -54,17 +54,17 @@
     };
 
     if (!readable && !writable) {
-        /* A closed descriptor has left the set by itself. */
-        (void)epoll_ctl(watch->set, EPOLL_CTL_DEL, descriptor, NULL);
+        /* Fails for a closed descriptor, which the kernel has removed. */
+        (void)epoll_ctl(watch->epoll_fd, EPOLL_CTL_DEL, descriptor, NULL);
         return;
     }
-    if (epoll_ctl(watch->set, EPOLL_CTL_MOD, descriptor, &event) == 0 ||
+    if (epoll_ctl(watch->epoll_fd, EPOLL_CTL_MOD, descriptor, &event) == 0 ||
         (errno == ENOENT &&
-         epoll_ctl(watch->set, EPOLL_CTL_ADD, descriptor, &event) == 0))
+         epoll_ctl(watch->epoll_fd, EPOLL_CTL_ADD, descriptor, &event) == 0))
     {
         return;
     }
-    /* Its transfer ends by its timeout. */
+    /* The descriptor's transfer will end by its timeout. */
     cw_log_error("watch_failed", "descriptor=%d reason=\"%s\"", descriptor,
                  strerror(errno));
 }
@@ -73,35 +73,35 @@
 http_watch_wake(struct http_watch *watch)
 {
     uint64_t one = 1;
-    ssize_t written = write(watch->wake, &one, sizeof(one));
+    ssize_t written = write(watch->wake_fd, &one, sizeof(one));
 
-    (void)written; /* full: it has been woken already */
+    (void)written; /* fails only while a wake-up is pending */
 }
 
 static void
-take_wakes(struct http_watch *watch)
+consume_wake(struct http_watch *watch)
 {
     uint64_t count;
-    ssize_t got = read(watch->wake, &count, sizeof(count));
+    ssize_t got = read(watch->wake_fd, &count, sizeof(count));
 
-    (void)got; /* empty: another read took it */
+    (void)got; /* fails only if there is no wake-up to consume */
 }
 
 unsigned
 http_watch_wait(struct http_watch *watch, unsigned wait_ms,
-                struct http_watch_news news[HTTP_WATCH_NEWS_MOST])
+                struct http_watch_event ready[HTTP_WATCH_EVENTS_MAX])
 {
-    struct epoll_event events[HTTP_WATCH_NEWS_MOST];
-    int count =
-        epoll_wait(watch->set, events, HTTP_WATCH_NEWS_MOST, (int)wait_ms);
+    struct epoll_event events[HTTP_WATCH_EVENTS_MAX];
+    int count = epoll_wait(watch->epoll_fd, events, HTTP_WATCH_EVENTS_MAX,
+                           (int)wait_ms);
     unsigned filled = 0;
 
     for (int i = 0; i < count; i++) {
-        if (events[i].data.fd == watch->wake) {
-            take_wakes(watch);
+        if (events[i].data.fd == watch->wake_fd) {
+            consume_wake(watch);
             continue;
         }
-        news[filled++] = (struct http_watch_news){
+        ready[filled++] = (struct http_watch_event){
             .descriptor = events[i].data.fd,
             .readable = (events[i].events & EPOLLIN) != 0,
             .writable = (events[i].events & EPOLLOUT) != 0,
--- a/src/http/internal/http_watch.h
+++ b/src/http/internal/http_watch.h
@@ -1,7 +1,7 @@
-/* The descriptors that the client's thread waits for, in one epoll set.
+/* The descriptors that the client's thread polls, in one epoll set.
  *
- * libcurl tells which of its sockets it wants watched; only those that have
- * news cost anything, however many are open. */
+ * libcurl requests which of its sockets to watch.  The cost of a wait depends
+ * on the sockets with events, not on the number of open sockets. */
 #ifndef HTTP_INTERNAL_HTTP_WATCH_H
 #define HTTP_INTERNAL_HTTP_WATCH_H
 
@@ -9,30 +9,32 @@
 
 struct http_watch;
 
-/* NULL if the kernel gives no descriptors. */
+/* Creates an empty set; NULL if no descriptors are available. */
 struct http_watch *http_watch_create(void);
+/* Closes and frees the set. */
 void http_watch_free(struct http_watch *watch);
 
-/* What to wait for at a descriptor; neither: it is no longer watched. */
+/* Sets the events to wait for on a descriptor.  Without any it is no longer
+ * watched. */
 void http_watch_set(struct http_watch *watch, int descriptor, bool readable,
                     bool writable);
 
-/* Ends a wait, the present one or the next.  Safe from any thread. */
+/* Makes the present or the next wait return.  Safe from any thread. */
 void http_watch_wake(struct http_watch *watch);
 
-/* News of a descriptor. */
-struct http_watch_news {
+/* Events of a descriptor. */
+struct http_watch_event {
     int descriptor;
     bool readable;
     bool writable;
-    bool broken;
+    bool broken; /* error or hang-up */
 };
 
-enum { HTTP_WATCH_NEWS_MOST = 64 };
+enum { HTTP_WATCH_EVENTS_MAX = 64 };
 
-/* Waits at most so long; returns how many of `news` were filled.  A wake-up
- * is no news. */
+/* Waits for events, at most `wait_ms`.  Returns the number of entries of
+ * `ready` that were filled.  A wake-up is not reported as an event. */
 unsigned http_watch_wait(struct http_watch *watch, unsigned wait_ms,
-                         struct http_watch_news news[HTTP_WATCH_NEWS_MOST]);
+                         struct http_watch_event ready[HTTP_WATCH_EVENTS_MAX]);
 
 #endif
--- a/src/proto/cw_proto.x
+++ b/src/proto/cw_proto.x
@@ -1,5 +1,5 @@
 /*
- * Curlewcart's inner protocol: records of the store, and messages between
+ * Curlewcart's internal protocol: records in the store, and messages between
  * daemons.
  *
  * cw_proto.h and cw_proto_xdr.c are generated from this file by rpcgen
@@ -28,13 +28,14 @@
     opaque bytes[64];
 };
 
-/* One published configuration, as a change of its parent: the parent's
- * first `prefix` and last `suffix` bytes with `middle` between them.  A
- * whole one has prefix = suffix = 0.  `seal` proves that a daemon which
- * knew the chain accepted it; only carried and synced records have it. */
+/* One published configuration, as a delta to its parent: the first `prefix`
+ * and the last `suffix` bytes of the parent with `middle` between them.  A
+ * complete configuration has prefix = suffix = 0.  `seal` proves that a daemon
+ * that had verified the chain accepted the record; only records that daemons
+ * store have a seal. */
 struct cw_bundle_rec {
     unsigned int format;
-    unsigned int parent;         /* the version it is based on */
+    unsigned int parent;         /* the version that the delta applies to */
     unsigned int number;         /* parent + 1 */
     opaque parent_hash[CW_HASH_BYTES];
     opaque content_hash[CW_HASH_BYTES];
@@ -47,67 +48,70 @@
     opaque seal[CW_MAC_BYTES];
 };
 
-/* ---- jobs of steps: what is kept in the platform's store ---- */
+/* ---- records of jobs in the platform's store ---- */
 
 const CW_STEPS_MAX = 64;
 const CW_TASKS_MAX = 4096;
 const CW_OCCURRENCES_MAX = 4096;
 const CW_SAVED_MAX = 1024;
 
-/* One step of a job: `tasks` equal tasks that may start once the steps in
+/* One step of a job: `tasks` identical tasks that may start once the steps in
  * `after` are done. */
 struct cw_step_spec {
     unsigned int tasks;
     unsigned int cpu_milli;          /* per task, thousandths of a core */
     unsigned int memory_mb;          /* per task */
     unsigned int accelerators;       /* per task */
-    unsigned int estimate_ms;        /* rough; 0 unknown */
+    unsigned int estimate_ms;        /* rough duration; 0: unknown */
     unsigned int after<CW_STEPS_MAX>;
-    bool gang;                       /* all tasks run together or not at all */
-    bool same_rack;                  /* slower across racks */
+    bool gang;                       /* its tasks run all at once or not at
+                                        all */
+    bool same_rack;                  /* its tasks are slower across racks */
     bool checkpoints;
     bool duplicates_allowed;
     bool endless;                    /* runs until its job is cancelled */
-    bool fills;                      /* runs on what others leave unused */
-    unsigned int most_per_worker;    /* 0: any number */
-    unsigned int tail_target_ms;     /* 0: none */
-    unsigned int may_miss;           /* 0: no such promise */
-    cw_name label;                   /* the worker must have it; "" any */
-    cw_name data_rack;               /* faster there; "" none */
+    bool fills;                      /* runs on otherwise unused capacity */
+    unsigned int most_per_worker;    /* limit of tasks on a worker; 0: none */
+    unsigned int tail_target_ms;     /* tail latency target; 0: none */
+    unsigned int may_miss;           /* tasks that may be missing at a time;
+                                        0: not limited */
+    cw_name label;                   /* required of the worker; "": none */
+    cw_name data_rack;               /* its tasks are faster there; "": none */
     cw_name image;
 };
 
-/* A job as its caller handed it in.  Immutable once stored. */
+/* A job as its caller submitted it.  Immutable once stored. */
 struct cw_work_spec {
     cw_name id;
     cw_name queue;
     cw_name account;
-    cw_name service;                 /* pool of workers that runs it */
+    cw_name service;                 /* pool of workers that runs the job */
     unsigned int priority;           /* 0 is the most urgent */
     unsigned int max_attempts;
-    unsigned int stretch_milli;      /* objective: stretch x longest chain */
+    unsigned int stretch_milli;      /* latency objective: stretch x critical
+                                        path ... */
     unsigned int target_latency_ms;  /* ... plus this */
-    hyper accepted_ms;               /* wall time */
+    hyper accepted_ms;               /* wall-clock time */
     unsigned hyper body_hash;
     string payload<CW_PAYLOAD_MAX>;
     cw_step_spec steps<CW_STEPS_MAX>;
-    unsigned int repeats;            /* 0: once, now */
-    hyper first_due_ms;              /* wall time */
+    unsigned int repeats;            /* number of occurrences; 0: one, now */
+    hyper first_due_ms;              /* wall-clock time */
     hyper interval_ms;
     bool advised;                    /* a policy service names its workers */
-    string request<CW_KEY_MAX>;      /* "account/id" of a caller of our own
-                                        interface; "" elsewhere */
-    cw_name dcs<CW_DCS_MAX>;         /* runs there only; none: wherever its
-                                        account may */
-    bool once;                       /* must not be begun a second time */
-    unsigned int deadline_ms;        /* not started so long after acceptance:
-                                        given up; 0 none */
+    string request<CW_KEY_MAX>;      /* "account/id" of a request of the
+                                        project's own interface; else "" */
+    cw_name dcs<CW_DCS_MAX>;         /* the only data centres to run in; empty:
+                                        all that its account may use */
+    bool once;                       /* must not be started a second time */
+    unsigned int deadline_ms;        /* given up if not started within this
+                                        time after acceptance; 0: none */
 };
 
-/* A task: what a new owner has to know to go on. */
+/* The state of a task that a new owner needs to continue. */
 struct cw_task_record {
-    unsigned int worker;             /* 1 + index into the record's names;
-                                        0: no run may be under way */
+    unsigned int worker;             /* 1 + index into the record's `workers`;
+                                        0: no run can be in progress */
     unsigned int run;                /* highest run number used */
     unsigned int failures;
     bool done;
@@ -116,7 +120,7 @@
 
 struct cw_step_record {
     bool done;
-    unsigned int failures;           /* of the gang */
+    unsigned int failures;           /* of the step as a gang */
     cw_task_record tasks<CW_TASKS_MAX>;
 };
 
@@ -132,7 +136,7 @@
     unsigned int runs;
 };
 
-/* Crashes of workers that count against a task. */
+/* Suspicion that a task causes crashes of workers. */
 struct cw_crash_record {
     unsigned int occurrence;
     unsigned int step;
@@ -140,66 +144,67 @@
     unsigned int suspicion;
 };
 
-/* The state of a job.  `phase` and `started` come first: every VM reads
- * them.  Only the next owner reads the record whole; what all VMs read has
- * neither `next_occurrence` nor what follows `result`.  `crashes` is left out
- * of the stored form while it is empty, see cw_record.h. */
+/* The state of a job.  `phase` and `started` come first, as every VM reads
+ * them.  Only the next owner reads the whole record; the record for all VMs
+ * has neither `next_occurrence` nor the members after `result`.  `crashes` is
+ * left out of the stored form while it is empty, see cw_record.h. */
 struct cw_work_record {
     unsigned int phase;              /* enum cw_work_phase */
-    bool started;                    /* a task of it has been started */
-    hyper ended_ms;                  /* wall time of its end; 0 */
-    unsigned int next_occurrence;    /* occurrences below it have begun */
+    bool started;                    /* a task of the job has been started */
+    hyper ended_ms;                  /* wall-clock time of its end; 0: none */
+    unsigned int next_occurrence;    /* all lower occurrences have begun */
     bool begun;                      /* a worker has confirmed a start */
-    unsigned int reason;             /* enum cw_result: why it ended */
-    unsigned hyper config;           /* version in force at its first start */
-    cw_place_record places<CW_TASKS_MAX>; /* where it has run */
-    string result<CW_SAVED_MAX>;     /* text of the last end that had one */
+    unsigned int reason;             /* enum cw_result: why the job ended */
+    unsigned hyper config;           /* configuration version in force at its
+                                        first start */
+    cw_place_record places<CW_TASKS_MAX>; /* workers that it has run on */
+    string result<CW_SAVED_MAX>;     /* text of the last end that had a text */
     cw_name workers<CW_TASKS_MAX>;
     cw_occurrence_record open<CW_OCCURRENCES_MAX>;
     cw_crash_record crashes<CW_TASKS_MAX>;
-    hyper lives<CW_TASKS_MAX>;       /* of `workers`, when they began; or none */
+    hyper lives<CW_TASKS_MAX>;       /* boot times of `workers`, or empty */
 };
 
-/* What a VM tells of itself, in the shard's log. */
+/* A VM's report of itself in the shard's log. */
 struct cw_vm_record {
     unsigned int capacity_milli;     /* processor, thousandths of a core */
 };
 
-/* An owner that has nothing else to write shows that it is there. */
+/* Heartbeat of an owner that has nothing else to write. */
 struct cw_beat_record {
     cw_name vm;
     unsigned hyper epoch;
 };
 
-/* A worker whose lease the owner extends no more, until the key is dropped:
- * so long after the record was written it is over. */
+/* Lease note of a worker whose lease the owner no longer renews until the key
+ * is dropped: the lease is over `left_ms` after the record was written. */
 struct cw_note_record {
     unsigned int left_ms;
 };
 
-/* A VM decides under an epoch, and may extend leases of workers. */
+/* The VM is the owner in this epoch and may renew leases of workers. */
 struct cw_epoch_record {
     unsigned hyper epoch;
-    unsigned hyper settled_below;    /* all leases that were given under an
-                                        epoch below it are over; 0: unknown */
-    unsigned int lease_ms;           /* the longest that is given under it */
+    unsigned hyper settled_below;    /* all leases granted in lower epochs are
+                                        over; 0: unknown */
+    unsigned int lease_ms;           /* longest lease granted in this epoch */
 };
 
-/* Of a worker whose lease ended before those of others. */
+/* Remaining lease of a worker whose lease ends before the others. */
 struct cw_lease_left {
     cw_name worker;
     unsigned int left_ms;
 };
 
-/* A VM extends no leases any more that it gave under this epoch or an earlier
- * one: so long after the record was written the last of them is over. */
+/* The VM no longer renews leases that it granted in this epoch or an earlier
+ * one.  The last of them is over `left_ms` after the record was written. */
 struct cw_epoch_end_record {
     unsigned hyper epoch;
     unsigned int left_ms;
-    cw_lease_left sooner<CW_TASKS_MAX>; /* workers whose leases end before */
+    cw_lease_left sooner<CW_TASKS_MAX>; /* workers whose leases end earlier */
 };
 
-/* An end that a worker has listed. */
+/* The end of a run, as a worker listed it. */
 struct cw_hint_end {
     cw_name worker;
     unsigned int occurrence;
@@ -210,7 +215,8 @@
     string saved<CW_SAVED_MAX>;
 };
 
-/* Ends of a job that a VM saw as its owner and could not store. */
+/* Ends of a job's runs that a VM received while it was the owner and could
+ * not store. */
 struct cw_hint_record {
     cw_hint_end ends<CW_TASKS_MAX>;
 };
@@ -225,7 +231,7 @@
     CW_RELAY_READ = 2,
     CW_RELAY_NEWEST = 3,
     CW_RELAY_JOIN = 4,
-    CW_RELAY_PING = 5             /* is anybody there? */
+    CW_RELAY_PING = 5             /* checks that the VM answers */
 };
 
 struct cw_relay_record {
@@ -234,7 +240,7 @@
     unsigned hyper offset;
 };
 
-/* A call as in cw_store.h; what its kind does not need is empty. */
+/* A call as in cw_store.h; members that its kind does not use are empty. */
 struct cw_relay_request {
     cw_relay_kind kind;
     cw_name topic;
@@ -247,7 +253,8 @@
     unsigned hyper expected_end;
     unsigned hyper from;
     unsigned int wait_ms;
-    unsigned int most_kb;         /* of records in the answer; 0: any */
+    unsigned int most_kb;         /* limit of the records in the answer;
+                                     0: none */
     string after<255>;
     cw_name group;
     string member<255>;
@@ -266,7 +273,7 @@
     unsigned int partitions<1024>;
 };
 
-/* A request or an answer, sealed with the key that the store keeps. */
+/* A request or an answer, authenticated with the key kept in the store. */
 struct cw_relay_sealed {
     opaque body<CW_RELAY_BYTES_MAX>;
     opaque mac[CW_MAC_BYTES];
--- a/src/work/record.c
+++ b/src/work/record.c
@@ -1,8 +1,9 @@
-/* The state of a job as bytes: a plain head, then XDR, deflated if that is
- * shorter.
+/* Encodes the state of a job: an uncompressed head, then XDR, which is
+ * deflated if that is shorter.
  *
- * The head is the beginning of the XDR form: phase, started, time of the end.
- * The phase's first byte, zero in XDR, tells how the rest is kept. */
+ * The head is the beginning of the XDR form: phase, started and time of the
+ * end.  The first byte of the phase, always zero in XDR, holds the encoding of
+ * the rest. */
 #include "curlewcart/cw_record.h"
 
 #include <string.h>
@@ -13,15 +14,16 @@
 
 enum {
     HEAD_BYTES = 16,
-    SIZE_BYTES = 4, /* of the rest before it was deflated */
-    /* Shorter ones gain less than the call costs. */
-    DEFLATE_FROM_BYTES = 160,
-    /* 4,096 tasks with a checkpoint each come to less. */
-    PLAIN_BYTES_MAX = 16 * 1024 * 1024,
-    /* XDR's form of an empty list, and how many lists at the end are left out
-     * where they are empty. */
+    SIZE_BYTES = 4, /* size of the rest before it was deflated */
+    /* For shorter records, deflating costs more than it saves. */
+    DEFLATE_MIN_BYTES = 160,
+    /* Limit of the inflated size.  A record of 4,096 tasks with a checkpoint
+     * each is smaller. */
+    INFLATED_BYTES_MAX = 16 * 1024 * 1024,
+    /* Size of an empty list in XDR, and the number of lists at the end of a
+     * record that are left out if they are empty. */
     EMPTY_LIST_BYTES = 4,
-    LAST_LISTS = 2,
+    OPTIONAL_LISTS = 2,
     PLAIN = 0,
     DEFLATED = 1
 };
@@ -35,7 +37,7 @@
     }
 }
 
-/* The record with its rest deflated, or NULL if that is no shorter. */
+/* The record with its rest deflated, or NULL if that is not shorter. */
 static GByteArray *
 deflate_rest(const GByteArray *plain)
 {
@@ -58,15 +60,15 @@
     return out;
 }
 
-/* Lists at the record's end that are empty: a record without them keeps its
- * form and size. */
+/* Number of empty lists at the record's end.  They are left out, so that a
+ * record without them has the format and size of earlier versions. */
 static unsigned
-empty_at_end(const struct cw_work_record *record)
+count_empty_at_end(const struct cw_work_record *record)
 {
     if (record->lives.lives_len > 0) {
         return 0;
     }
-    return record->crashes.crashes_len > 0 ? 1 : LAST_LISTS;
+    return record->crashes.crashes_len > 0 ? 1 : OPTIONAL_LISTS;
 }
 
 GByteArray *
@@ -78,9 +80,9 @@
     if (plain == NULL) {
         return NULL;
     }
-    g_byte_array_set_size(plain, plain->len -
-                                     empty_at_end(record) * EMPTY_LIST_BYTES);
-    if (plain->len < DEFLATE_FROM_BYTES) {
+    g_byte_array_set_size(plain, plain->len - count_empty_at_end(record) *
+                                                  EMPTY_LIST_BYTES);
+    if (plain->len < DEFLATE_MIN_BYTES) {
         return plain;
     }
     packed = deflate_rest(plain);
@@ -118,7 +120,7 @@
         return NULL;
     }
     rest = cw_bytes_read_be(bytes + HEAD_BYTES, SIZE_BYTES);
-    if (rest > PLAIN_BYTES_MAX) {
+    if (rest > INFLATED_BYTES_MAX) {
         return NULL;
     }
     plain = g_byte_array_new();
@@ -136,13 +138,13 @@
     return plain;
 }
 
-/* Decodes the XDR form, with its last lists or without. */
+/* Decodes the XDR form with or without the lists at its end. */
 static bool
-decode_plain(GByteArray *plain, struct cw_work_record *record)
+decode_xdr(GByteArray *plain, struct cw_work_record *record)
 {
     static const guint8 empty_list[EMPTY_LIST_BYTES];
 
-    for (unsigned added = 0; added <= LAST_LISTS; added++) {
+    for (unsigned added = 0; added <= OPTIONAL_LISTS; added++) {
         memset(record, 0, sizeof(*record));
         if (cw_xdr_decode((xdrproc_t)xdr_cw_work_record, record, plain->data,
                           plain->len))
@@ -172,7 +174,7 @@
     if (plain == NULL) {
         return false;
     }
-    ok = decode_plain(plain, record);
+    ok = decode_xdr(plain, record);
     g_byte_array_unref(plain);
     return ok;
 }
--- a/src/work/request.c
+++ b/src/work/request.c
@@ -1,4 +1,4 @@
-/* Requests of the project's own interface, read from JSON. */
+/* Decodes requests of the project's own interface from JSON. */
 #include "curlewcart/cw_request.h"
 
 #include <stdio.h>
@@ -16,11 +16,12 @@
     CORES_MAX = 4096,
     MEMORY_MB_MAX = 16 * 1024 * 1024,
     ACCELERATORS_MAX = 256,
-    GANG_MAX = 256, /* the largest gangs that the users name */
+    GANG_MAX = 256, /* size of the largest gangs in the users' requirements */
     DURATION_MS_MAX = 0x7fffffff,
     MILLI = 1000,
-    /* Order among equally urgent work: twice its declared time, and for
-     * urgent work the 2.4 s within which the users want it started. */
+    /* Latency objectives, which order jobs of equal priority: twice the
+     * declared duration plus a target.  For urgent work the target is the
+     * 2.4 s within which the users require it to start. */
     STRETCH_MILLI = 2000,
     URGENT_LATENCY_MS = 2400,
     USUAL_LATENCY_MS = 30000,
@@ -49,7 +50,7 @@
     }
 }
 
-/* Where reading a request stands: the first error stays. */
+/* State of the decoding of a request.  Only the first error is kept. */
 struct reader {
     json_t *root;
     enum cw_result code;
@@ -69,7 +70,7 @@
 
 static unsigned
 read_unsigned(struct reader *reader, const char *field, unsigned fallback,
-              unsigned least, unsigned most)
+              unsigned min, unsigned max)
 {
     json_t *value = json_object_get(reader->root, field);
     char expected[64];
@@ -77,11 +78,11 @@
     if (value == NULL) {
         return fallback;
     }
-    if (!json_is_integer(value) || json_integer_value(value) < least ||
-        json_integer_value(value) > most)
+    if (!json_is_integer(value) || json_integer_value(value) < min ||
+        json_integer_value(value) > max)
     {
         snprintf(expected, sizeof(expected), "a whole number from %u to %u",
-                 least, most);
+                 min, max);
         reader_fail(reader, field, expected);
         return fallback;
     }
@@ -103,9 +104,10 @@
     return json_is_true(value);
 }
 
-/* Names are safe in keys, logs and URLs: no space, slash or control. */
+/* True if a name is safe in keys, logs and URLs: it has no space, slash or
+ * control character. */
 static bool
-name_is_plain(const char *name)
+is_safe_name(const char *name)
 {
     for (; *name != '\0'; name++) {
         if (!g_ascii_isalnum(*name) && strchr("-_.:", *name) == NULL) {
@@ -117,7 +119,7 @@
 
 static const char *
 read_name(struct reader *reader, const char *field, const char *fallback,
-          size_t most)
+          size_t max)
 {
     json_t *value = json_object_get(reader->root, field);
     const char *text;
@@ -126,8 +128,8 @@
         return fallback;
     }
     text = json_string_value(value);
-    if (text == NULL || strlen(text) > most ||
-        (fallback == NULL && *text == '\0') || !name_is_plain(text))
+    if (text == NULL || strlen(text) > max ||
+        (fallback == NULL && *text == '\0') || !is_safe_name(text))
     {
         reader_fail(reader, field,
                     "a name of letters, digits, '-', '_', '.' and ':'");
@@ -151,14 +153,14 @@
         reader_fail(reader, "dcs", "a list of data centres");
         return;
     }
-    /* One more for `home`. */
+    /* One more entry for `home`. */
     spec->dcs.dcs_val = calloc(json_array_size(list) + 1, sizeof(cw_name));
     g_assert(spec->dcs.dcs_val != NULL);
     json_array_foreach(list, i, item)
     {
         const char *name = json_string_value(item);
 
-        if (name == NULL || strlen(name) > CW_NAME_MAX || !name_is_plain(name))
+        if (name == NULL || strlen(name) > CW_NAME_MAX || !is_safe_name(name))
         {
             reader_fail(reader, "dcs", "a list of data centres' names");
             return;
@@ -167,7 +169,7 @@
     }
 }
 
-/* `home` names the one data centre that the request may run in. */
+/* `home` restricts the request to one data centre. */
 static void
 read_home(struct reader *reader, struct cw_work_spec *spec)
 {
@@ -189,9 +191,9 @@
     spec->dcs.dcs_val[spec->dcs.dcs_len++] = strdup(home);
 }
 
-/* ---- shape ---- */
+/* ---- fields and steps ---- */
 
-static const char *const shape_fields[] = {
+static const char *const single_step_fields[] = {
     "gang",        "adjacency",      "cores", "memory_mb",
     "declared_ms", "checkpointable", NULL,
 };
@@ -213,7 +215,7 @@
     return g_strv_contains((const gchar *const *)list, name);
 }
 
-/* Fails on a field that is in neither list; `more` may be NULL. */
+/* Reports an error for a field that is in neither list; `more` may be NULL. */
 static void
 check_fields(struct reader *reader, const char *const *known,
              const char *const *more)
@@ -225,23 +227,24 @@
     {
         if (!in_list(known, field) && (more == NULL || !in_list(more, field)))
         {
-            reader_fail(reader, field, "no such field");
+            reader_fail(reader, field, "a known field name");
         }
     }
 }
 
 static void
-step_names(struct cw_step_spec *step, const char *label, const char *kind)
+set_step_texts(struct cw_step_spec *step, const char *label, const char *kind)
 {
     step->label = strdup(label);
     step->data_rack = strdup("");
     step->image = strdup(kind);
 }
 
-/* The plain form: one gang of accelerators, each with its share of cores and
- * memory. */
+/* Decodes a request without a list of steps: one gang of accelerators, each
+ * with its share of cores and memory. */
 static void
-read_plain(struct reader *reader, struct cw_step_spec *step, const char *kind)
+read_single_step(struct reader *reader, struct cw_step_spec *step,
+                 const char *kind)
 {
     unsigned gang = read_unsigned(reader, "gang", 1, 1, GANG_MAX);
     unsigned cores = read_unsigned(reader, "cores", 1, 0, CORES_MAX);
@@ -264,7 +267,7 @@
     step->estimate_ms =
         read_unsigned(reader, "declared_ms", 0, 0, DURATION_MS_MAX);
     step->checkpoints = read_bool(reader, "checkpointable", false);
-    step_names(step, "", kind);
+    set_step_texts(step, "", kind);
 }
 
 static void
@@ -313,7 +316,7 @@
     step->most_per_worker =
         read_unsigned(reader, "most_per_worker", 0, 0, CW_TASKS_MAX);
     read_after(reader, step, number);
-    step_names(step, read_name(reader, "label", "", CW_NAME_MAX), kind);
+    set_step_texts(step, read_name(reader, "label", "", CW_NAME_MAX), kind);
 }
 
 static void
@@ -330,22 +333,22 @@
     g_assert(spec->steps.steps_val != NULL);
     spec->steps.steps_len = (u_int)count;
     if (list == NULL) {
-        read_plain(reader, &spec->steps.steps_val[0], kind);
+        read_single_step(reader, &spec->steps.steps_val[0], kind);
         return;
     }
     for (size_t i = 0; i < count; i++) {
-        struct reader inner = *reader;
+        struct reader step_reader = *reader;
 
-        inner.root = json_array_get(list, i);
-        if (!json_is_object(inner.root)) {
-            reader_fail(&inner, "steps", "objects");
+        step_reader.root = json_array_get(list, i);
+        if (!json_is_object(step_reader.root)) {
+            reader_fail(&step_reader, "steps", "objects");
         }
-        read_step(&inner, &spec->steps.steps_val[i], i, kind);
-        reader->code = inner.code;
+        read_step(&step_reader, &spec->steps.steps_val[i], i, kind);
+        reader->code = step_reader.code;
     }
 }
 
-/* ---- the rest ---- */
+/* ---- payload, hash and the whole request ---- */
 
 static void
 read_payload(struct reader *reader, struct cw_work_spec *spec)
@@ -359,12 +362,13 @@
     else if (text != NULL && strlen(text) > CW_PAYLOAD_MAX) {
         reader_fail(reader, "payload", "at most 65536 bytes");
         reader->code = CW_REF_TOO_LARGE;
-        text = NULL; /* XDR frees no string beyond its bound */
+        text = NULL; /* xdr_free doesn't free a string beyond its limit */
     }
     spec->payload = strdup(text != NULL ? text : "");
 }
 
-/* The same request always has the same hash, however it was written. */
+/* Hash of the request in a canonical form, which does not depend on the order
+ * of fields or on spaces. */
 static uint64_t
 hash_body(const json_t *root)
 {
@@ -378,7 +382,8 @@
 }
 
 static void
-name_job(struct cw_work_spec *spec, const char *account, const char *request)
+set_job_names(struct cw_work_spec *spec, const char *account,
+              const char *request)
 {
     char id[CW_JOB_ID_SIZE];
     char *name = g_strdup_printf("%s/%s", account, request);
@@ -398,10 +403,12 @@
 {
     const char *kind = read_name(reader, "kind", "", KIND_MAX);
     bool urgent = read_bool(reader, "urgent", false);
-    bool plain = json_object_get(reader->root, "steps") == NULL;
+    bool single_step = json_object_get(reader->root, "steps") == NULL;
 
-    name_job(spec, account, read_name(reader, "id", NULL, REQUEST_ID_MAX));
-    check_fields(reader, request_fields, plain ? shape_fields : NULL);
+    set_job_names(spec, account,
+                  read_name(reader, "id", NULL, REQUEST_ID_MAX));
+    check_fields(reader, request_fields,
+                 single_step ? single_step_fields : NULL);
     read_dcs(reader, spec);
     read_home(reader, spec);
     read_steps(reader, spec, kind);
--- a/src/work/work.c
+++ b/src/work/work.c
@@ -1,4 +1,4 @@
-/* Names, keys and checks of jobs. */
+/* Names of phases, keys of records and checks of specifications. */
 #include "curlewcart/cw_work.h"
 
 #include <string.h>
@@ -40,12 +40,14 @@
            size_t size)
 {
     if (step->tasks == 0 || step->tasks > CW_TASKS_MAX) {
-        g_snprintf(detail, size, "step %u: count of tasks", number);
+        g_snprintf(detail, size, "step %u: number of tasks is out of range",
+                   number);
         return CW_REF_MALFORMED;
     }
     for (u_int i = 0; i < step->after.after_len; i++) {
         if (step->after.after_val[i] >= number) {
-            g_snprintf(detail, size, "step %u waits for a later step", number);
+            g_snprintf(detail, size, "step %u depends on a later step",
+                       number);
             return CW_REF_MALFORMED;
         }
     }
--- a/standins/platform_standin.c
+++ b/standins/platform_standin.c
@@ -1,19 +1,24 @@
 /* curlewcart-platform: the platform's store and workers over HTTP on
  * loopback, for tests with real daemons.
  *
- * The models are the emulator's; this is their transport.  It speaks the
- * calls that the product makes, as the users' pages tell them, and prints
- * the addresses that it listens on.
+ * It puts the emulator's models behind HTTP.  It implements the calls that the
+ * product makes, as the users specify them, and prints the addresses that it
+ * listens on.
  *
- * What a task does stands in its job's payload: "run_ms=N" how long it
- * works, "members=N" that it is one of a gang of so many, "accelerators=N" how
- * many it takes (1), "fails=N" how many of its runs fail, "echo=TEXT" what its
- * end says beside the job's id, and "crash=1" that its first task crashes each
- * worker that starts it: the worker answers nothing for a while, and is then
- * another life, under another id; with "crash=2" under the id that it had.
- * SIGUSR1 makes the store refuse all calls, SIGUSR2 makes it serve again;
- * SIGHUP crashes every third worker at once, and they are back under their
- * ids.  A line "lose WORKER" on standard input crashes one for good. */
+ * The payload of a job determines what its tasks do:
+ *   run_ms=N        duration of a run
+ *   members=N       the task belongs to a gang of N
+ *   accelerators=N  accelerators that it needs (1)
+ *   fails=N         number of its runs that fail
+ *   echo=TEXT       text that its end has, after the job's id
+ *   crash=1         the job's first task crashes every worker that starts it;
+ *                   the worker doesn't answer for a while and then restarts
+ *                   under another id
+ *   crash=2         the same, but the worker restarts under its id
+ *
+ * SIGUSR1 makes the store refuse all calls, SIGUSR2 makes it serve again.
+ * SIGHUP crashes every third worker at once; they restart under their ids.
+ * A line "lose WORKER" on standard input crashes a worker permanently. */
 #include <argp.h>
 #include <inttypes.h>
 #include <poll.h>
@@ -35,11 +40,11 @@
 }
 
 int64_t
-standin_fleet_ms(void)
+standin_fleet_now_ms(void)
 {
     int64_t now_ms = standin_now_ms();
 
-    return now_ms - now_ms % REVIVE_EVERY_MS;
+    return now_ms - now_ms % RESTART_CHECK_MS;
 }
 
 void
@@ -54,28 +59,29 @@
 }
 
 void
-standin_wait(struct platform *platform, struct worker_server *worker,
-             struct cw_http_call *call, int64_t wait_ms, void *(*run)(void *))
+standin_defer_call(struct platform *platform, struct worker_server *worker,
+                   struct cw_http_call *call, int64_t wait_ms,
+                   void *(*run)(void *))
 {
-    struct waiting *waiting = g_new0(struct waiting, 1);
+    struct deferred_call *deferred_call = g_new0(struct deferred_call, 1);
     pthread_t thread;
 
-    waiting->platform = platform;
-    waiting->worker = worker;
-    waiting->call = call;
-    waiting->until_ms = standin_now_ms() + wait_ms;
-    if (pthread_create(&thread, NULL, run, waiting) == 0) {
+    deferred_call->platform = platform;
+    deferred_call->worker = worker;
+    deferred_call->call = call;
+    deferred_call->until_ms = standin_now_ms() + wait_ms;
+    if (pthread_create(&thread, NULL, run, deferred_call) == 0) {
         pthread_detach(thread);
         return;
     }
-    run(waiting);
+    run(deferred_call);
 }
 
 /* ---- start ---- */
 
 static void
-put_record(struct platform *platform, const char *topic, const char *key,
-           const char *value)
+append_record(struct platform *platform, const char *topic, const char *key,
+              const char *value)
 {
     struct cw_store_record record = {.key = key,
                                      .value = value,
@@ -87,9 +93,9 @@
     store_model_append(platform->store, &append);
 }
 
-/* A worker that is down comes back as another life; false if it stays down. */
+/* Restarts a worker whose downtime is over; false if it is still down. */
 static bool
-revive(struct platform *platform, struct worker_server *worker)
+restart_if_due(struct platform *platform, struct worker_server *worker)
 {
     struct worker_model *before =
         worker_fleet_find(platform->fleet, worker->id);
@@ -98,16 +104,16 @@
     if (!worker_model_dead(before)) {
         return true;
     }
-    if (standin_now_ms() - worker->down_ms < worker->away_ms) {
+    if (standin_now_ms() - worker->crashed_at_ms < worker->downtime_ms) {
         return false;
     }
-    if (worker->same_id) {
+    if (worker->keeps_id) {
         worker_model_restart(before, 1);
         printf("restarted worker=%s\n", worker->id);
         return true;
     }
     after = worker_fleet_revive(platform->fleet, before, 0);
-    put_record(platform, "keyed.servers", worker->id, NULL);
+    append_record(platform, "keyed.servers", worker->id, NULL);
     printf("revived worker=%s as=%s\n", worker->id, worker_model_id(after));
     g_free(worker->id);
     worker->id = g_strdup(worker_model_id(after));
@@ -115,13 +121,13 @@
 }
 
 static void
-report(struct platform *platform)
+report_workers(struct platform *platform)
 {
     for (guint i = 0; i < platform->workers->len; i++) {
         struct worker_server *worker = platform->workers->pdata[i];
         char *text;
 
-        if (!revive(platform, worker)) {
+        if (!restart_if_due(platform, worker)) {
             continue;
         }
         text = g_strdup_printf(
@@ -129,32 +135,33 @@
             "\"slots\":8,\"state\":\"ready\",\"capacity\":{\"cpu\":%d,"
             "\"mem_mb\":%d,\"gpus\":%d},\"labels\":[\"a\",\"%s\"],"
             "\"clock_ms\":%" PRId64 ",\"born\":%" PRId64 "}",
-            worker->reported, worker->dc, CPU_MILLI, MEMORY_MB, ACCELERATORS,
-            worker->rack, standin_now_ms(),
+            worker->reported_address, worker->dc, WORKER_CPU_MILLI,
+            WORKER_MEMORY_MB, WORKER_ACCELERATORS, worker->rack,
+            standin_now_ms(),
             worker_model_boot_ms(
                 worker_fleet_find(platform->fleet, worker->id)));
 
-        put_record(platform, "keyed.servers", worker->id, text);
+        append_record(platform, "keyed.servers", worker->id, text);
         g_free(text);
     }
 }
 
-/* Reports come each 1.5 s, but a worker may be back sooner. */
+/* Restarts workers between reports, which are 1.5 s apart. */
 static void
-revive_all(struct platform *platform)
+restart_all_due(struct platform *platform)
 {
     for (guint i = 0; i < platform->workers->len; i++) {
-        (void)revive(platform, platform->workers->pdata[i]);
+        (void)restart_if_due(platform, platform->workers->pdata[i]);
     }
 }
 
-/* Every third worker from a changing one on crashes, and is back under its id
- * after 50 ms to 1.8 s. */
+/* Crashes every third worker, beginning with another one each time.  They
+ * restart under their ids after 50 ms to 1.8 s. */
 static void
 crash_workers(struct platform *platform)
 {
-    for (guint i = platform->crashes++ % CRASH_EVERY;
-         i < platform->workers->len; i += CRASH_EVERY)
+    for (guint i = platform->crashes++ % CRASH_EVERY_NTH;
+         i < platform->workers->len; i += CRASH_EVERY_NTH)
     {
         struct worker_server *worker = platform->workers->pdata[i];
         struct worker_model *model =
@@ -162,13 +169,14 @@
 
         if (!worker_model_dead(model)) {
             worker_model_crash(model);
-            worker->down_ms = standin_now_ms();
-            worker->away_ms =
-                AGAIN_LEAST_MS + i * AGAIN_STEP_MS % AGAIN_SPAN_MS;
-            worker->same_id = true;
+            worker->crashed_at_ms = standin_now_ms();
+            worker->downtime_ms =
+                RESTART_DELAY_MIN_MS +
+                i * RESTART_DELAY_STEP_MS % RESTART_DELAY_SPAN_MS;
+            worker->keeps_id = true;
         }
     }
-    platform->same_id = false;
+    platform->keeps_id = false;
 }
 
 static void
@@ -181,18 +189,18 @@
 
         if (strcmp(worker->id, id) == 0 && !worker_model_dead(model)) {
             worker_model_crash(model);
-            worker->away_ms = INT64_MAX;
+            worker->downtime_ms = INT64_MAX;
             printf("lost worker=%s at_ms=%" PRId64 "\n", id,
                    cw_clock_wall_ms(cw_clock_system()));
             fflush(stdout);
         }
     }
-    platform->same_id = false;
+    platform->keeps_id = false;
 }
 
-/* Carries out the whole lines that standard input has by now. */
+/* Reads standard input without waiting and executes the complete lines. */
 static void
-take_commands(struct platform *platform, GString *text)
+run_commands(struct platform *platform, GString *text)
 {
     struct pollfd input = {.fd = STDIN_FILENO, .events = POLLIN};
     char bytes[COMMAND_BYTES_MAX];
@@ -215,8 +223,8 @@
 }
 
 static struct cw_http_server *
-serve(void (*handle)(void *, struct cw_http_call *), int64_t (*mark)(void *),
-      void *context)
+start_server(void (*handle)(void *, struct cw_http_call *),
+             int64_t (*tag_connection)(void *), void *context)
 {
     struct cw_http_server_options options = {
         .address = "127.0.0.1",
@@ -225,7 +233,7 @@
         .idle_timeout_s = 60,
         .body_bytes_max = 4 << 20,
         .handle = handle,
-        .mark = mark,
+        .tag_connection = tag_connection,
         .context = context,
     };
     struct cw_http_server *server = cw_http_server_create(&options);
@@ -241,19 +249,20 @@
 start_worker(struct platform *platform, const char *dc, unsigned rack,
              unsigned number)
 {
-    const struct cw_resources capacity = {.cpu_milli = CPU_MILLI,
-                                          .memory_mb = MEMORY_MB,
-                                          .accelerators = ACCELERATORS};
+    const struct cw_resources capacity = {.cpu_milli = WORKER_CPU_MILLI,
+                                          .memory_mb = WORKER_MEMORY_MB,
+                                          .accelerators = WORKER_ACCELERATORS};
     struct worker_server *worker = g_new0(struct worker_server, 1);
 
     worker->platform = platform;
     worker->dc = g_strdup(dc);
     worker->rack = g_strdup_printf("%s-r%u", dc, rack);
     worker->id = g_strdup_printf("%s-w%u", worker->rack, number);
-    worker->server = serve(standin_handle_worker, standin_mark_worker, worker);
+    worker->server = start_server(standin_handle_worker,
+                                  standin_connection_boot_ms, worker);
     worker->address =
         g_strdup_printf("127.0.0.1:%u", cw_http_server_port(worker->server));
-    worker->reported = g_strdup(worker->address);
+    worker->reported_address = g_strdup(worker->address);
     worker_fleet_add(platform->fleet, worker->id, worker->rack, &capacity, 0);
     g_ptr_array_add(platform->workers, worker);
 }
@@ -272,11 +281,11 @@
     g_strfreev(dcs);
 }
 
-/* With a proxy between daemons and workers: tells where the workers listen,
- * and waits until the file says where they are to be reached, with lines
- * "LINK PORT" in the same order. */
+/* For a proxy between daemons and workers: prints the workers' addresses and
+ * waits for the file that has the proxy's ports, in lines "LINK PORT" in the
+ * same order. */
 static bool
-report_by_proxy(struct platform *platform)
+use_proxy_addresses(struct platform *platform)
 {
     char *text = NULL;
     char **lines;
@@ -287,8 +296,8 @@
         printf("worker=%s %s\n", worker->id, worker->address);
     }
     fflush(stdout);
-    for (int tries = 0; tries < PROXY_TRIES && text == NULL; tries++) {
-        g_usleep(WAIT_STEP_MS * 1000);
+    for (int tries = 0; tries < PROXY_WAIT_STEPS && text == NULL; tries++) {
+        g_usleep(POLL_INTERVAL_MS * 1000);
         (void)g_file_get_contents(platform->proxy_path, &text, NULL, NULL);
     }
     lines = g_strsplit(text != NULL ? text : "", "\n", -1);
@@ -303,8 +312,8 @@
         struct worker_server *worker = platform->workers->pdata[i];
         const char *port = strrchr(lines[i], ' ');
 
-        g_free(worker->reported);
-        worker->reported =
+        g_free(worker->reported_address);
+        worker->reported_address =
             g_strdup_printf("127.0.0.1:%s", port != NULL ? port + 1 : "0");
     }
     g_strfreev(lines);
@@ -321,13 +330,13 @@
                 platform->config_path);
         return false;
     }
-    put_record(platform, "keyed.op", "config", text);
+    append_record(platform, "keyed.op", "config", text);
     g_free(text);
     return true;
 }
 
 static error_t
-parse(int key, char *value, struct argp_state *state)
+parse_option(int key, char *value, struct argp_state *state)
 {
     struct platform *platform = state->input;
 
@@ -354,7 +363,7 @@
 }
 
 static sigset_t
-told_signals(void)
+handled_signals(void)
 {
     sigset_t signals;
 
@@ -368,34 +377,34 @@
 }
 
 static void
-run_until_told(struct platform *platform)
+run_until_stopped(struct platform *platform)
 {
-    struct timespec step = cw_time_from_ms(REVIVE_EVERY_MS);
-    sigset_t signals = told_signals();
+    struct timespec step = cw_time_from_ms(RESTART_CHECK_MS);
+    sigset_t signals = handled_signals();
     GString *commands = g_string_new(NULL);
     int64_t report_ms = 0;
-    int told;
+    int signal_number;
 
     do {
         pthread_mutex_lock(&platform->lock);
-        revive_all(platform);
+        restart_all_due(platform);
         if (standin_now_ms() >= report_ms) {
-            report(platform);
-            report_ms = standin_now_ms() + REPORT_EVERY_MS;
+            report_workers(platform);
+            report_ms = standin_now_ms() + REPORT_INTERVAL_MS;
         }
-        worker_fleet_advance(platform->fleet, standin_fleet_ms());
+        worker_fleet_advance(platform->fleet, standin_fleet_now_ms());
         pthread_mutex_unlock(&platform->lock);
-        told = sigtimedwait(&signals, NULL, &step);
+        signal_number = sigtimedwait(&signals, NULL, &step);
         pthread_mutex_lock(&platform->lock);
-        take_commands(platform, commands);
-        if (told == SIGUSR1 || told == SIGUSR2) {
-            platform->away = told == SIGUSR1;
+        run_commands(platform, commands);
+        if (signal_number == SIGUSR1 || signal_number == SIGUSR2) {
+            platform->store_unavailable = signal_number == SIGUSR1;
         }
-        if (told == SIGHUP) {
+        if (signal_number == SIGHUP) {
             crash_workers(platform);
         }
         pthread_mutex_unlock(&platform->lock);
-    } while (told != SIGTERM && told != SIGINT);
+    } while (signal_number != SIGTERM && signal_number != SIGINT);
     g_string_free(commands, TRUE);
 }
 
@@ -403,24 +412,25 @@
 main(int argc, char **argv)
 {
     static const struct argp_option options[] = {
-        {"dcs", 'd', "LIST", 0, "Data centres, parted by commas (z)", 0},
-        {"racks", 'r', "N", 0, "Racks in each (3)", 0},
+        {"dcs", 'd', "LIST", 0, "Data centres, separated by commas (z)", 0},
+        {"racks", 'r', "N", 0, "Racks in each data centre (3)", 0},
         {"per-rack", 'w', "N", 0, "Workers in each rack (4)", 0},
         {"config", 'c', "FILE", 0,
-         "The operator's configuration; none with our own interface", 0},
+         "The operator's configuration; none with the project's own interface",
+         0},
         {"proxy", 'p', "FILE", 0,
-         "Report workers at these ports, once the file is there", 0},
+         "Wait for this file and report workers at the ports in it", 0},
         {0},
     };
     static const struct argp argp = {
-        options, parse, NULL, "The platform's stand-in on loopback.",
-        NULL,    NULL,  NULL};
+        options, parse_option, NULL, "Stand-in for the platform on loopback.",
+        NULL,    NULL,         NULL};
     struct platform platform = {.lock = PTHREAD_MUTEX_INITIALIZER,
                                 .dcs = "z",
                                 .racks = 3,
                                 .per_rack = 4};
-    struct worker_listener listener = standin_listener(&platform);
-    sigset_t signals = told_signals();
+    struct worker_listener listener = standin_worker_listener(&platform);
+    sigset_t signals = handled_signals();
 
     argp_parse(&argp, argc, argv, 0, NULL, &platform);
     pthread_sigmask(SIG_BLOCK, &signals, NULL);
@@ -437,19 +447,21 @@
     if (platform.config_path != NULL && !load_config(&platform)) {
         return 2;
     }
-    worker_fleet_advance(platform.fleet, standin_fleet_ms());
+    worker_fleet_advance(platform.fleet, standin_fleet_now_ms());
     worker_fleet_set_day(platform.fleet, cw_clock_wall_ms(cw_clock_system()) -
                                              standin_now_ms());
     start_workers(&platform);
-    if (platform.proxy_path != NULL && !report_by_proxy(&platform)) {
+    if (platform.proxy_path != NULL && !use_proxy_addresses(&platform)) {
         return 2;
     }
-    platform.store_server = serve(standin_handle_store, NULL, &platform);
+    platform.store_server =
+        start_server(standin_handle_store, NULL, &platform);
     printf("store=127.0.0.1:%u\n", cw_http_server_port(platform.store_server));
     fflush(stdout);
-    run_until_told(&platform);
+    run_until_stopped(&platform);
     printf("violations=%u\n", platform.violations);
     fflush(stdout);
-    /* Threads that hold a call still use what returning from here frees. */
+    /* Threads that handle a call may still use `platform`, which returning
+     * would free. */
     _exit(platform.violations > 0 ? 1 : 0);
 }
--- a/standins/platform_standin.h
+++ b/standins/platform_standin.h
@@ -1,4 +1,4 @@
-/* The platform's stand-in: what its store and its workers share. */
+/* Stand-in for the platform: shared by its store and its workers. */
 #ifndef CURLEWCART_STANDINS_PLATFORM_STANDIN_H
 #define CURLEWCART_STANDINS_PLATFORM_STANDIN_H
 
@@ -13,24 +13,26 @@
 #include "emulator/worker_model.h"
 
 enum {
-    WAIT_STEP_MS = 20,
-    PROXY_TRIES = 500, /* steps to wait for the proxy's file: 10 s */
-    REPORT_EVERY_MS = 1500,
-    REVIVE_EVERY_MS = 20,
-    DOWN_MS = 1000, /* a worker that its task crashed is away for so long */
-    /* Of the workers, those that crash together, and how long they are away:
-     * so much and more for each worker before it, up to a span. */
-    CRASH_EVERY = 3,
-    AGAIN_LEAST_MS = 50,
-    AGAIN_STEP_MS = 150,
-    AGAIN_SPAN_MS = 1800,
-    SAME_ID = 2, /* "crash=2" in a payload */
+    POLL_INTERVAL_MS = 20,
+    /* Steps of 20 ms to wait for the proxy's file: 10 s. */
+    PROXY_WAIT_STEPS = 500,
+    REPORT_INTERVAL_MS = 1500,
+    RESTART_CHECK_MS = 20,
+    /* How long a worker is down after a task crashed it. */
+    CRASH_DOWNTIME_MS = 1000,
+    /* Every third worker crashes together.  The time until it restarts begins
+     * at a minimum, grows by a step per worker, and wraps at a span. */
+    CRASH_EVERY_NTH = 3,
+    RESTART_DELAY_MIN_MS = 50,
+    RESTART_DELAY_STEP_MS = 150,
+    RESTART_DELAY_SPAN_MS = 1800,
+    CRASH_KEEPS_ID = 2, /* "crash=2" in a payload: restart under the same id */
     COMMAND_BYTES_MAX = 512,
     LENGTH_BYTES = 4,
-    ACCELERATORS = 8,
-    CPU_MILLI = 32000,
-    MEMORY_MB = 131072,
-    TASK_MS = 600
+    WORKER_ACCELERATORS = 8,
+    WORKER_CPU_MILLI = 32000,
+    WORKER_MEMORY_MB = 131072,
+    DEFAULT_TASK_MS = 600
 };
 
 struct platform {
@@ -40,63 +42,67 @@
     struct cw_http_server *store_server;
     GPtrArray *workers; /* struct worker_server */
     const char *config_path;
-    const char *proxy_path; /* see report_by_proxy; or NULL */
-    const char *dcs;        /* names, parted by commas */
+    const char *proxy_path; /* see use_proxy_addresses; or NULL */
+    const char *dcs;        /* names, separated by commas */
     unsigned racks;         /* in each data centre */
-    unsigned per_rack;      /* workers */
-    bool away;              /* the store refuses all calls */
-    GHashTable *payloads;   /* of jobs, by id */
-    unsigned violations;    /* two runs of a task at once */
-    GHashTable *active;     /* task's name -> runs */
+    unsigned per_rack;      /* workers in each rack */
+    bool store_unavailable; /* the store refuses all calls */
+    GHashTable *payloads;   /* job's id -> payload */
+    unsigned violations;    /* starts of a task that runs or is done */
+    GHashTable *active;     /* task's name -> number of runs */
     GHashTable *done;       /* names of tasks with a confirmed end */
     unsigned crashes;       /* times that workers were crashed together */
-    bool same_id;           /* a worker that a task crashes now keeps its id */
+    /* The next worker that a task crashes keeps its id. */
+    bool keeps_id;
 };
 
 struct worker_server {
     struct platform *platform;
     char *id;
-    int64_t down_ms; /* when it crashed last */
-    int64_t away_ms; /* for so long */
-    bool same_id;    /* of its next life */
+    int64_t crashed_at_ms; /* time of its last crash */
+    int64_t downtime_ms;   /* time from that crash to its restart */
+    bool keeps_id;         /* the next incarnation keeps the id */
     char *dc;
     char *rack;
     char *address;
-    char *reported; /* address that the store tells; a proxy may stand there */
+    char *reported_address; /* address in its reports; may be a proxy's */
     struct cw_http_server *server;
 };
 
-struct waiting {
+/* A call that is handled by a thread of its own. */
+struct deferred_call {
     struct platform *platform;
     struct worker_server *worker;
     struct cw_http_call *call;
     int64_t until_ms;
-    int64_t boot_ms; /* of the life of the worker that it was sent to */
+    int64_t boot_ms; /* boot time of the incarnation that it was sent to */
 };
 
-/* Milliseconds of the steady clock. */
+/* Time of the monotonic clock. */
 int64_t standin_now_ms(void);
 
-/* The same for the workers' model, in steps: to move hundreds of workers on
- * for each call takes longer than the calls. */
-int64_t standin_fleet_ms(void);
+/* The same for the model of the workers, rounded down to steps: advancing
+ * hundreds of workers for each call takes longer than the calls. */
+int64_t standin_fleet_now_ms(void);
 
-/* Answers and releases `body`. */
+/* Answers with `body` and releases it. */
 void standin_answer(struct cw_http_call *call, unsigned status, json_t *body);
 
-/* Carries a waiting call on, on a thread of its own. */
+/* Handles a call by `run` on a new thread.  The call may wait `wait_ms`. */
 void
-standin_wait(struct platform *platform, struct worker_server *worker,
-             struct cw_http_call *call, int64_t wait_ms, void *(*run)(void *));
+standin_defer_call(struct platform *platform, struct worker_server *worker,
+                   struct cw_http_call *call, int64_t wait_ms,
+                   void *(*run)(void *));
 
-/* Handlers of the store's and of a worker's listener. */
+/* Handlers of calls to the store and to a worker. */
 void standin_handle_store(void *platform, struct cw_http_call *call);
 void standin_handle_worker(void *worker, struct cw_http_call *call);
 
-/* Which life of the worker a connection is made to; 0: it is down. */
-int64_t standin_mark_worker(void *worker);
+/* Boot time of the worker's incarnation that a connection is made to; 0 if the
+ * worker is down. */
+int64_t standin_connection_boot_ms(void *worker);
 
-/* What the workers' model asks and tells. */
-struct worker_listener standin_listener(struct platform *platform);
+/* Callbacks of the model of the workers. */
+struct worker_listener standin_worker_listener(struct platform *platform);
 
 #endif
--- a/standins/platform_store.c
+++ b/standins/platform_store.c
@@ -1,4 +1,4 @@
-/* The stand-in's store: the emulator's model behind HTTP. */
+/* Store of the stand-in: the emulator's model behind HTTP. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,16 +9,17 @@
 #include "standins/platform_standin.h"
 
 static const char *
-query(struct cw_http_call *call, const char *name)
+query_text(struct cw_http_call *call, const char *name)
 {
     const char *value = cw_http_call_query(call, name);
 
     return value != NULL ? value : "";
 }
 
-/* Splits a body into records, whose keys are added to `keys`. */
+/* Splits a body into records.  Their keys are added to `keys`, which owns
+ * them. */
 static GArray *
-parse_records(const unsigned char *bytes, size_t length, GPtrArray *keys)
+split_records(const unsigned char *bytes, size_t length, GPtrArray *keys)
 {
     GArray *records = g_array_new(FALSE, TRUE, sizeof(struct cw_store_record));
 
@@ -49,15 +50,15 @@
     size_t length = 0;
     const char *body = cw_http_call_body(call, &length);
     GPtrArray *keys = g_ptr_array_new_with_free_func(g_free);
-    GArray *records = parse_records((const unsigned char *)body, length, keys);
+    GArray *records = split_records((const unsigned char *)body, length, keys);
     const char *expected = cw_http_call_query(call, "expected_offset");
     struct cw_store_append append = {
-        .topic = query(call, "topic"),
+        .topic = query_text(call, "topic"),
         .records = (const struct cw_store_record *)records->data,
         .count = records->len,
         .writer = cw_http_call_query(call, "producer"),
-        .epoch = g_ascii_strtoull(query(call, "epoch"), NULL, 10),
-        .sequence = g_ascii_strtoull(query(call, "seq"), NULL, 10),
+        .epoch = g_ascii_strtoull(query_text(call, "epoch"), NULL, 10),
+        .sequence = g_ascii_strtoull(query_text(call, "seq"), NULL, 10),
         .conditional = expected != NULL,
         .expected_end =
             expected != NULL ? g_ascii_strtoull(expected, NULL, 10) : 0,
@@ -90,7 +91,7 @@
 }
 
 static void
-put_number(GByteArray *out, uint64_t value, unsigned bytes)
+append_number(GByteArray *out, uint64_t value, unsigned bytes)
 {
     for (unsigned i = bytes; i > 0; i--) {
         guint8 byte = (guint8)(value >> (8 * (i - 1)));
@@ -104,14 +105,14 @@
 {
     GByteArray *out = g_byte_array_new();
 
-    put_number(out, page->page.end, 8);
-    put_number(out, page->page.first, 8);
+    append_number(out, page->page.end, 8);
+    append_number(out, page->page.first, 8);
     for (size_t i = 0; i < page->page.count; i++) {
         const struct cw_store_record *record = &page->page.records[i];
         size_t key = strlen(record->key);
 
-        put_number(out, 1 + key + record->length, LENGTH_BYTES);
-        put_number(out, key, 1);
+        append_number(out, 1 + key + record->length, LENGTH_BYTES);
+        append_number(out, key, 1);
         g_byte_array_append(out, (const guint8 *)record->key, (guint)key);
         if (record->length > 0) {
             g_byte_array_append(out, record->value, (guint)record->length);
@@ -122,27 +123,27 @@
     g_byte_array_unref(out);
 }
 
-/* A call that waits for something, on a thread of its own. */
+/* Handles a read, which may wait for records, on a thread of its own. */
 static void *
 wait_for_records(void *argument)
 {
-    struct waiting *waiting = argument;
-    struct cw_http_call *call = waiting->call;
-    uint64_t from = g_ascii_strtoull(query(call, "from"), NULL, 10);
+    struct deferred_call *deferred_call = argument;
+    struct cw_http_call *call = deferred_call->call;
+    uint64_t from = g_ascii_strtoull(query_text(call, "from"), NULL, 10);
     struct store_model_page page;
 
     for (;;) {
-        pthread_mutex_lock(&waiting->platform->lock);
-        store_model_read(waiting->platform->store, query(call, "topic"), from,
-                         &page);
-        pthread_mutex_unlock(&waiting->platform->lock);
+        pthread_mutex_lock(&deferred_call->platform->lock);
+        store_model_read(deferred_call->platform->store,
+                         query_text(call, "topic"), from, &page);
+        pthread_mutex_unlock(&deferred_call->platform->lock);
         if (page.page.count > 0 || page.page.status != CW_STORE_OK ||
-            standin_now_ms() >= waiting->until_ms)
+            standin_now_ms() >= deferred_call->until_ms)
         {
             break;
         }
         store_model_page_clear(&page);
-        g_usleep(WAIT_STEP_MS * 1000);
+        g_usleep(POLL_INTERVAL_MS * 1000);
     }
     if (page.page.status == CW_STORE_EXPIRED) {
         standin_answer(
@@ -153,7 +154,7 @@
         answer_records(call, &page);
     }
     store_model_page_clear(&page);
-    g_free(waiting);
+    g_free(deferred_call);
     return NULL;
 }
 
@@ -163,7 +164,7 @@
     struct store_model_page page;
     json_t *items = json_array();
 
-    store_model_newest(platform->store, query(call, "topic"),
+    store_model_newest(platform->store, query_text(call, "topic"),
                        cw_http_call_query(call, "after"), &page);
     for (size_t i = 0; i < page.page.count; i++) {
         const struct cw_store_record *record = &page.page.records[i];
@@ -225,19 +226,20 @@
 {
     struct platform *platform = context;
     const char *path = cw_http_call_path(call);
-    bool away;
+    bool store_unavailable;
 
     pthread_mutex_lock(&platform->lock);
-    away = platform->away;
+    store_unavailable = platform->store_unavailable;
     pthread_mutex_unlock(&platform->lock);
-    if (away) {
+    if (store_unavailable) {
         standin_answer(call, 503, json_object());
         return;
     }
     if (strcmp(path, "/log-read") == 0) {
-        standin_wait(platform, NULL, call,
-                     g_ascii_strtoll(query(call, "wait_ms"), NULL, 10),
-                     wait_for_records);
+        standin_defer_call(
+            platform, NULL, call,
+            g_ascii_strtoll(query_text(call, "wait_ms"), NULL, 10),
+            wait_for_records);
         return;
     }
     pthread_mutex_lock(&platform->lock);
--- a/standins/platform_workers.c
+++ b/standins/platform_workers.c
@@ -1,4 +1,4 @@
-/* The stand-in's workers: the emulator's models behind HTTP. */
+/* Workers of the stand-in: the emulator's models behind HTTP. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,13 +8,14 @@
 #include "standins/platform_standin.h"
 
 static json_t *
-task_text(const struct cw_task_name *task)
+task_name_json(const struct cw_task_name *task)
 {
     return json_sprintf("%s.%u.%u.%u", task->job, task->occurrence, task->step,
                         task->index);
 }
 
-/* What the end of a run says: its job's id and the payload's echo. */
+/* Text of the end of a run: the job's id and the payload's echo if the run is
+ * done and has one, else its checkpoint. */
 static char *
 end_text(struct platform *platform, const struct cw_ended *row)
 {
@@ -43,7 +44,7 @@
         const struct cw_running *row = &answer->running[i];
 
         json_array_append_new(
-            running, json_pack("[o, i, s, i]", task_text(&row->task),
+            running, json_pack("[o, i, s, i]", task_name_json(&row->task),
                                (int)row->run, row->saved, (int)row->percent));
     }
     for (size_t i = 0; i < answer->ended_count; i++) {
@@ -52,7 +53,7 @@
 
         json_array_append_new(
             ended, json_pack("[I, o, i, s, s]", (json_int_t)row->number,
-                             task_text(&row->task), (int)row->run,
+                             task_name_json(&row->task), (int)row->run,
                              cw_end_kind_name(row->how), text));
         g_free(text);
     }
@@ -76,7 +77,8 @@
         standin_answer(call, 200, encode_answer(platform, answer));
     }
     else if (answer->status == CW_TARGET_UNKNOWN) {
-        /* It is down, or is not the one that the connection was made to. */
+        /* The worker is down, or the connection was made to an earlier
+         * incarnation. */
         cw_http_answer(call, 500, "application/json", "{}", strlen("{}"),
                        true);
     }
@@ -96,8 +98,7 @@
     }
 }
 
-/* An order as it stands in a call.  Its texts belong to `body` and
- * `name`. */
+/* Decodes the order in a call.  Its texts are owned by `body` and `name`. */
 static bool
 decode_order(struct cw_http_call *call, const json_t *body, char **name,
              struct cw_target_order *order)
@@ -135,10 +136,11 @@
                   &order->task.index) == 3;
 }
 
-/* Plans are asked for by the job's name alone. */
+/* Remembers the payload of a start, as the model requests a task's plan by the
+ * task's name only. */
 static void
-keep_payload(struct platform *platform, const struct cw_target_order *order,
-             const json_t *body)
+remember_payload(struct platform *platform,
+                 const struct cw_target_order *order, const json_t *body)
 {
     const char *payload = json_string_value(json_object_get(body, "spec"));
 
@@ -151,24 +153,24 @@
 }
 
 static void *
-carry_out(void *argument)
+execute_order(void *argument)
 {
-    struct waiting *waiting = argument;
-    struct platform *platform = waiting->platform;
-    struct cw_http_call *call = waiting->call;
+    struct deferred_call *deferred_call = argument;
+    struct platform *platform = deferred_call->platform;
+    struct cw_http_call *call = deferred_call->call;
     size_t length = 0;
     const char *text = cw_http_call_body(call, &length);
     json_t *body = json_loadb(text, length, 0, NULL);
     struct cw_target_order order = {0};
     char *name = NULL;
 
-    waiting->boot_ms = cw_http_call_connection_tag(call);
+    deferred_call->boot_ms = cw_http_call_connection_tag(call);
     if (!decode_order(call, body, &name, &order)) {
         standin_answer(call, 400, json_object());
         goto done;
     }
-    keep_payload(platform, &order, body);
-    waiting->until_ms +=
+    remember_payload(platform, &order, body);
+    deferred_call->until_ms +=
         order.kind == CW_ORDER_POLL
             ? json_integer_value(json_object_get(body, "wait_ms"))
             : 0;
@@ -181,19 +183,19 @@
         bool last;
 
         pthread_mutex_lock(&platform->lock);
-        worker_fleet_advance(platform->fleet, standin_fleet_ms());
-        worker = worker_fleet_find(platform->fleet, waiting->worker->id);
-        /* What waits in a worker, or on a connection that was made to it, goes
-         * with its life. */
+        worker_fleet_advance(platform->fleet, standin_fleet_now_ms());
+        worker = worker_fleet_find(platform->fleet, deferred_call->worker->id);
+        /* Orders that wait in a worker, or on a connection to it, are lost
+         * when its incarnation ends. */
         if (!worker_model_dead(worker) &&
-            waiting->boot_ms == worker_model_boot_ms(worker))
+            deferred_call->boot_ms == worker_model_boot_ms(worker))
         {
-            worker_model_order(worker, &order, standin_fleet_ms(), &answer,
+            worker_model_order(worker, &order, standin_fleet_now_ms(), &answer,
                                running, ended, texts);
         }
         pthread_mutex_unlock(&platform->lock);
         last = answer.ended_count > 0 || answer.status != CW_TARGET_OK ||
-               standin_now_ms() >= waiting->until_ms;
+               standin_now_ms() >= deferred_call->until_ms;
         if (last) {
             answer_order(platform, call, &answer);
         }
@@ -203,19 +205,19 @@
         if (last) {
             break;
         }
-        order.lease_until_ms = 0; /* given once, as it arrived */
-        g_usleep(WAIT_STEP_MS * 1000);
+        order.lease_until_ms = 0; /* the lease was given on arrival */
+        g_usleep(POLL_INTERVAL_MS * 1000);
     }
 
 done:
     g_free(name);
     json_decref(body);
-    g_free(waiting);
+    g_free(deferred_call);
     return NULL;
 }
 
 int64_t
-standin_mark_worker(void *context)
+standin_connection_boot_ms(void *context)
 {
     struct worker_server *server = context;
     const struct worker_model *worker;
@@ -233,14 +235,14 @@
 {
     struct worker_server *worker = context;
 
-    standin_wait(worker->platform, worker, call, 0, carry_out);
+    standin_defer_call(worker->platform, worker, call, 0, execute_order);
 }
 
-/* ---- what runs in workers ---- */
+/* ---- callbacks of the model of the workers ---- */
 
 /* The number after "NAME=" in a payload, or `fallback`. */
 static unsigned
-number_in(const char *payload, const char *name, unsigned fallback)
+payload_number(const char *payload, const char *name, unsigned fallback)
 {
     char *key = g_strdup_printf("%s=", name);
     const char *found = strstr(payload, key);
@@ -254,23 +256,23 @@
 }
 
 static bool
-on_plan(void *context, const struct cw_task_name *task, struct task_plan *out)
+get_plan(void *context, const struct cw_task_name *task, struct task_plan *out)
 {
     struct platform *platform = context;
     const char *payload = g_hash_table_lookup(platform->payloads, task->job);
 
     payload = payload != NULL ? payload : "";
-    out->work_ms = number_in(payload, "run_ms", TASK_MS);
-    out->members = number_in(payload, "members", 0);
-    out->fails = number_in(payload, "fails", 0);
-    out->crashes = number_in(payload, "crash", 0) > 0 && task->step == 0 &&
-                   task->index == 0;
-    out->need.accelerators = number_in(payload, "accelerators", 1);
+    out->work_ms = payload_number(payload, "run_ms", DEFAULT_TASK_MS);
+    out->members = payload_number(payload, "members", 0);
+    out->fails = payload_number(payload, "fails", 0);
+    out->crashes = payload_number(payload, "crash", 0) > 0 &&
+                   task->step == 0 && task->index == 0;
+    out->need.accelerators = payload_number(payload, "accelerators", 1);
     return true;
 }
 
 static char *
-name_of(const struct cw_task_name *task)
+task_name(const struct cw_task_name *task)
 {
     return g_strdup_printf("%s.%u.%u.%u", task->job, task->occurrence,
                            task->step, task->index);
@@ -281,7 +283,7 @@
            unsigned run)
 {
     struct platform *platform = context;
-    char *name = name_of(task);
+    char *name = task_name(task);
     unsigned active =
         GPOINTER_TO_UINT(g_hash_table_lookup(platform->active, name));
 
@@ -304,7 +306,7 @@
          unsigned run, enum cw_end_kind how)
 {
     struct platform *platform = context;
-    char *name = name_of(task);
+    char *name = task_name(task);
 
     printf("ended task=%s run=%u worker=%s how=%s at_ms=%" PRId64 "\n", name,
            run, worker, cw_end_kind_name(how),
@@ -313,7 +315,8 @@
     g_hash_table_insert(platform->active, name, GUINT_TO_POINTER(0));
 }
 
-/* One end stands for a whole gang, whose members are not known by it. */
+/* If one member of a gang is done, the whole gang is.  Only this member is
+ * recorded, as the others aren't known here. */
 static void
 on_confirmed(void *context, const char *worker,
              const struct cw_task_name *task, unsigned run,
@@ -324,7 +327,7 @@
     (void)worker;
     (void)run;
     if (how == CW_END_KIND_DONE && !lapsed) {
-        g_hash_table_add(platform->done, name_of(task));
+        g_hash_table_add(platform->done, task_name(task));
     }
 }
 
@@ -333,10 +336,11 @@
 {
     struct platform *platform = context;
     const char *payload = g_hash_table_lookup(platform->payloads, task->job);
-    char *name = name_of(task);
+    char *name = task_name(task);
 
-    if (payload != NULL && number_in(payload, "crash", 0) == SAME_ID) {
-        platform->same_id = true;
+    if (payload != NULL &&
+        payload_number(payload, "crash", 0) == CRASH_KEEPS_ID) {
+        platform->keeps_id = true;
     }
     printf("crashed task=%s worker=%s\n", name, worker);
     fflush(stdout);
@@ -352,18 +356,18 @@
         struct worker_server *server = platform->workers->pdata[i];
 
         if (strcmp(server->id, worker_model_id(worker)) == 0) {
-            server->down_ms = standin_now_ms();
-            server->away_ms = DOWN_MS;
-            server->same_id = platform->same_id;
+            server->crashed_at_ms = standin_now_ms();
+            server->downtime_ms = CRASH_DOWNTIME_MS;
+            server->keeps_id = platform->keeps_id;
         }
     }
-    platform->same_id = false;
+    platform->keeps_id = false;
 }
 
 struct worker_listener
-standin_listener(struct platform *platform)
+standin_worker_listener(struct platform *platform)
 {
-    struct worker_listener listener = {.plan = on_plan,
+    struct worker_listener listener = {.plan = get_plan,
                                        .started = on_started,
                                        .ended = on_ended,
                                        .confirmed = on_confirmed,
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -1,4 +1,5 @@
-/* The client on connections that fall silent, and what was never sent. */
+/* Tests of the HTTP client: connections that stop answering, and requests that
+ * were never sent. */
 #include "test_main.h"
 
 #include <arpa/inet.h>
@@ -18,18 +19,20 @@
     POLL_MS = 5
 };
 
-/* A server that answers requests of new connections, and those of old ones
- * until it is told not to. */
+/* A server that answers requests, except on connections that the test has made
+ * unresponsive. */
 struct server {
     int listener;
     uint16_t port;
     pthread_t thread;
-    pthread_mutex_t lock; /* guards what follows */
+    pthread_mutex_t lock; /* guards the following members */
     int connections[CONNECTIONS_MAX];
     unsigned count;
-    unsigned silent; /* so many of the first are never answered again */
-    unsigned held;   /* requests read and not answered yet */
-    bool holding;    /* requests wait */
+    /* Number of connections, beginning with the oldest, that are no longer
+     * answered. */
+    unsigned unresponsive_count;
+    unsigned unanswered; /* requests that were read and not answered yet */
+    bool paused;         /* no request is answered */
     bool stop;
 };
 
@@ -43,18 +46,20 @@
 }
 
 static void
-serve_connection(struct server *server, unsigned index, bool *owed)
+serve_connection(struct server *server, unsigned index, bool *has_request)
 {
     static const char answer[] =
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
     if (read_request(server->connections[index])) {
-        owed[index] = true;
-        server->held++;
+        has_request[index] = true;
+        server->unanswered++;
     }
-    if (owed[index] && !server->holding && index >= server->silent) {
-        owed[index] = false;
-        server->held--;
+    if (has_request[index] && !server->paused &&
+        index >= server->unresponsive_count)
+    {
+        has_request[index] = false;
+        server->unanswered--;
         (void)send(server->connections[index], answer, strlen(answer),
                    MSG_NOSIGNAL);
     }
@@ -64,7 +69,7 @@
 server_main(void *argument)
 {
     struct server *server = argument;
-    bool owed[CONNECTIONS_MAX] = {false};
+    bool has_request[CONNECTIONS_MAX] = {false};
     bool stop = false;
 
     while (!stop) {
@@ -77,7 +82,7 @@
                 accept(server->listener, NULL, NULL);
         }
         for (unsigned i = 0; i < server->count; i++) {
-            serve_connection(server, i, owed);
+            serve_connection(server, i, has_request);
         }
         stop = server->stop;
         pthread_mutex_unlock(&server->lock);
@@ -115,7 +120,7 @@
     close(server->listener);
 }
 
-/* Answers of requests, and how many. */
+/* Numbers of requests by their result. */
 struct answers {
     pthread_mutex_t lock;
     pthread_cond_t changed;
@@ -161,36 +166,38 @@
     cw_http_client_send(client, &request);
 }
 
-/* Three connections are open and idle afterwards. */
+/* Sends three requests at a time, so that three connections are open and idle
+ * afterwards. */
 static void
-open_three(struct cw_http_client *client, struct server *server,
-           struct answers *answers)
+open_three_connections(struct cw_http_client *client, struct server *server,
+                       struct answers *answers)
 {
-    unsigned held = 0;
+    unsigned unanswered = 0;
 
     pthread_mutex_lock(&server->lock);
-    server->holding = true;
+    server->paused = true;
     pthread_mutex_unlock(&server->lock);
     for (unsigned i = 0; i < 3; i++) {
         request(client, server->port, answers, LONG_TIMEOUT_MS);
     }
-    while (held < 3) {
+    while (unanswered < 3) {
         usleep(1000);
         pthread_mutex_lock(&server->lock);
-        held = server->held;
+        unanswered = server->unanswered;
         pthread_mutex_unlock(&server->lock);
     }
     pthread_mutex_lock(&server->lock);
-    server->holding = false;
+    server->paused = false;
     pthread_mutex_unlock(&server->lock);
     answers_wait(answers, 3);
     CU_ASSERT_EQUAL(answers->ok, 3);
 }
 
-/* All open connections of a host go silent at once, without a reset: one
- * timeout has to be enough to leave them all. */
+/* All open connections of a host stop answering at once, without a reset.
+ * After one timeout the client must not reuse any of them, as each could cost
+ * one more timeout. */
 static void
-test_one_timeout_leaves_all_silent_connections(void)
+test_one_timeout_retires_all_unresponsive_connections(void)
 {
     struct server server = {0};
     struct answers answers = {.lock = PTHREAD_MUTEX_INITIALIZER,
@@ -198,9 +205,9 @@
     struct cw_http_client *client = cw_http_client_create(NULL);
 
     server_start(&server);
-    open_three(client, &server, &answers);
+    open_three_connections(client, &server, &answers);
     pthread_mutex_lock(&server.lock);
-    server.silent = 3;
+    server.unresponsive_count = 3;
     pthread_mutex_unlock(&server.lock);
     request(client, server.port, &answers, CALL_TIMEOUT_MS);
     answers_wait(&answers, 4);
@@ -215,9 +222,10 @@
     server_stop(&server);
 }
 
-/* A connection that is never made: the peer's queue of new ones is full. */
+/* The connection is never established, as the peer's queue of new connections
+ * is full.  The request must be reported as not sent. */
 static void
-test_a_request_that_never_left_is_told_as_unsent(void)
+test_a_request_never_sent_is_reported_as_unsent(void)
 {
     struct sockaddr_in address = {.sin_family = AF_INET,
                                   .sin_addr = {htonl(INADDR_LOOPBACK)}};
@@ -249,8 +257,9 @@
 }
 
 static const struct test tests[] = {
-    {"silent connections", test_one_timeout_leaves_all_silent_connections},
-    {"never sent", test_a_request_that_never_left_is_told_as_unsent},
+    {"unresponsive connections",
+     test_one_timeout_retires_all_unresponsive_connections},
+    {"never sent", test_a_request_never_sent_is_reported_as_unsent},
 };
 
 TEST_MAIN("http_client", tests)
--- a/tests/test_http_server.c
+++ b/tests/test_http_server.c
@@ -1,4 +1,5 @@
-/* The listener's end: what was taken is answered, what was not is refused. */
+/* Tests of how an HTTP server stops: connections established before are
+ * answered, later ones are refused. */
 #include "test_main.h"
 
 #include <arpa/inet.h>
@@ -11,7 +12,7 @@
 
 #include "curlewcart/cw_http_server.h"
 
-/* A handler that holds the server's only thread until told. */
+/* Blocks the handler, and so the server's only thread, until it is open. */
 struct gate {
     pthread_mutex_t lock;
     pthread_cond_t changed;
@@ -71,7 +72,7 @@
     return cw_http_server_create(&options);
 }
 
-/* Connects and sends a request; -1 if nobody listens. */
+/* Connects and sends a request; -1 if the connection is refused. */
 static int
 send_request(uint16_t port)
 {
@@ -91,7 +92,7 @@
     return connection;
 }
 
-/* Reads to the end; true if the answer came whole. */
+/* Reads until the connection is closed; true if the answer is complete. */
 static bool
 read_answer(int connection)
 {
@@ -109,8 +110,9 @@
            g_str_has_suffix(text, "\r\n\r\ndone");
 }
 
-/* `scripts/faults`: 5 of 16 runs cut calls off that had come in while the VM
- * stopped: the listener was closed over connections not yet taken. */
+/* A listener that is closed resets the connections in its queue.  In 5 of 16
+ * runs of `scripts/faults` this cut off calls that arrived while the VM
+ * stopped. */
 static void
 test_a_connection_made_before_the_end_is_answered(void)
 {
@@ -122,7 +124,7 @@
 
     first = send_request(port);
     gate_wait(&gate, 1);
-    second = send_request(port); /* the server's thread is held */
+    second = send_request(port); /* the server's thread is blocked */
     cw_http_server_quiesce(server);
     CU_ASSERT_EQUAL(send_request(port), -1);
     gate_open(&gate);
@@ -144,7 +146,8 @@
     CU_ASSERT_EQUAL(cw_http_server_active_calls(server), 1);
     gate_open(&gate);
     CU_ASSERT_TRUE(read_answer(connection));
-    /* Its end is noted on the server's thread, at the latest here. */
+    /* The server's thread may count the call as ended only after the client
+     * has read the answer. */
     while (cw_http_server_active_calls(server) > 0) {
         usleep(1000);
     }
--- a/tests/test_main.h
+++ b/tests/test_main.h
@@ -1,4 +1,4 @@
-/* The main function of a CUnit program with one suite.
+/* Defines the main function of a CUnit program with one suite.
  *
  *   static const struct test tests[] = {{"name", function}, ...};
  *   TEST_MAIN("module", tests)
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -1,4 +1,5 @@
-/* The adapter: the platform's records and bodies into the product's types. */
+/* Tests of the adapter that decodes the platform's records and the bodies of
+ * jobs. */
 #include "test_main.h"
 
 #include <string.h>
@@ -89,8 +90,9 @@
     (*(unsigned *)context)++;
 }
 
-/* Another writer's entries name no worker: a member is missing or of another
- * type, the state is not one of the two, or it is no JSON at all. */
+/* Entries that other writers than workers add must not be taken for workers:
+ * a member is missing or of another type, the state is not one of the two, or
+ * the value is not JSON. */
 static void
 test_an_entry_of_another_writer_names_no_worker(void)
 {
@@ -145,7 +147,7 @@
 }
 
 static void
-clear(struct cw_work_spec *spec)
+clear_spec(struct cw_work_spec *spec)
 {
     xdr_free((xdrproc_t)xdr_cw_work_spec, (char *)spec);
 }
@@ -171,7 +173,7 @@
     CU_ASSERT_EQUAL(step->after.after_len, 1);
     CU_ASSERT_EQUAL(step->most_per_worker, 2);
     CU_ASSERT_STRING_EQUAL(step->label, "a");
-    clear(&spec);
+    clear_spec(&spec);
 }
 
 static void
@@ -188,7 +190,7 @@
 
     for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
         CU_ASSERT_FALSE(decode(bad[i], &spec));
-        clear(&spec);
+        clear_spec(&spec);
     }
 }
 
@@ -202,7 +204,7 @@
                           &spec));
     CU_ASSERT_EQUAL(spec.steps.steps_val[0].tasks, 0);
     CU_ASSERT_EQUAL(spec.steps.steps_val[0].cpu_milli, 0);
-    clear(&spec);
+    clear_spec(&spec);
 }
 
 static const struct test tests[] = {
--- a/tests/test_record.c
+++ b/tests/test_record.c
@@ -1,4 +1,4 @@
-/* The state of a job as the store keeps it. */
+/* Tests of the encoding of a job's state. */
 #include "test_main.h"
 
 #include <string.h>
@@ -9,7 +9,7 @@
 
 enum { TASKS = 40, ENDED_MS = 123456789 };
 
-/* A record of one step; the texts are borrowed. */
+/* A record of one step; its texts are borrowed. */
 struct sample {
     struct cw_work_record record;
     struct cw_occurrence_record occurrence;
@@ -61,8 +61,8 @@
     g_byte_array_unref(bytes);
 }
 
-/* Crashes come last, and are left out while there are none: that is the form
- * of records which know of no crashes. */
+/* Crashes come at the end of a record and are left out if there are none.
+ * Such a record has the format of versions that count no crashes. */
 static void
 check_crashes(unsigned tasks)
 {
@@ -133,7 +133,7 @@
     CU_ASSERT_FALSE(cw_record_decode(bytes->data, 18, &out));
     CU_ASSERT_FALSE(cw_record_decode(bytes->data, 3, &out));
     CU_ASSERT_FALSE(cw_record_read_head(bytes->data, 15, &head));
-    bytes->data[16] = 0xff; /* claims four gigabytes */
+    bytes->data[16] = 0xff; /* the inflated size is four gigabytes */
     CU_ASSERT_FALSE(cw_record_decode(bytes->data, bytes->len, &out));
     g_byte_array_unref(bytes);
 }
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -1,4 +1,5 @@
-/* Requests in JSON: what is taken, and what is refused and why. */
+/* Tests of the decoding of requests: which are accepted, and which are refused
+ * with which code. */
 #include "test_main.h"
 
 #include <string.h>
@@ -13,7 +14,7 @@
 }
 
 static void
-test_takes_a_whole_request(void)
+test_accepts_a_complete_request(void)
 {
     struct cw_work_spec *spec = NULL;
     char detail[256] = "";
@@ -122,7 +123,7 @@
 }
 
 static void
-test_takes_steps_in_order(void)
+test_accepts_steps_in_order(void)
 {
     struct cw_work_spec *spec = NULL;
     char detail[256] = "";
@@ -143,7 +144,7 @@
 }
 
 static void
-test_one_worker_holds_an_adjacent_gang(void)
+test_a_gang_adjacent_on_a_worker_becomes_one_task(void)
 {
     struct cw_work_spec *spec = NULL;
     char detail[256] = "";
@@ -160,10 +161,10 @@
 }
 
 static const struct test tests[] = {
-    {"takes steps in order", test_takes_steps_in_order},
-    {"one worker holds an adjacent gang",
-     test_one_worker_holds_an_adjacent_gang},
-    {"takes a whole request", test_takes_a_whole_request},
+    {"accepts steps in order", test_accepts_steps_in_order},
+    {"a gang adjacent on a worker becomes one task",
+     test_a_gang_adjacent_on_a_worker_becomes_one_task},
+    {"accepts a complete request", test_accepts_a_complete_request},
     {"once only is the default", test_once_only_is_the_default},
     {"same request, same hash", test_same_request_same_hash},
     {"refuses what is not valid", test_refuses_what_is_not_valid},
--- a/tests/test_work.c
+++ b/tests/test_work.c
@@ -1,4 +1,4 @@
-/* Checks and keys of jobs. */
+/* Tests of the checks of ids and specifications, and of the critical path. */
 #include "test_main.h"
 
 #include "curlewcart/cw_work.h"
@@ -36,7 +36,7 @@
 }
 
 static void
-test_the_chain_is_the_longest_way_through(void)
+test_the_critical_path_is_the_longest_chain(void)
 {
     u_int first[] = {0};
     u_int both[] = {0, 1};
@@ -58,7 +58,7 @@
 static const struct test tests[] = {
     {"id", test_an_id_is_16_hexadecimal_digits},
     {"order of steps", test_a_step_waits_for_earlier_ones_only},
-    {"chain", test_the_chain_is_the_longest_way_through},
+    {"critical path", test_the_critical_path_is_the_longest_chain},
 };
 
 TEST_MAIN("work", tests)
--- a/tests/work_spec.h
+++ b/tests/work_spec.h
@@ -1,4 +1,5 @@
-/* The specification of a job of one step, as a caller's VM stores it. */
+/* Encoded specification of a job of one step, as the VM that accepts a job
+ * stores it. */
 #ifndef CURLEWCART_TESTS_WORK_SPEC_H
 #define CURLEWCART_TESTS_WORK_SPEC_H
 
@@ -7,7 +8,7 @@
 #include "curlewcart/cw_xdr.h"
 #include "proto/cw_proto.h"
 
-/* What differs between tests; the rest is the same for all. */
+/* Members that differ between tests; all others are fixed. */
 struct work_spec_options {
     const char *id;
     const char *account; /* NULL: "a" */
@@ -18,7 +19,7 @@
     uint64_t body_hash;
 };
 
-/* Owned by the caller. */
+/* Encodes the specification.  Owned by the caller. */
 static inline GByteArray *
 work_spec_encode(const struct work_spec_options *options)
 {
