--- a/src/api/api_ops.c
+++ b/src/api/api_ops.c
@@ -130,8 +130,8 @@
     if (!cw_owner_explain(api->options.owner, job->id,
                           cw_clock_now(api->options.clock), text))
     {
-        g_string_append(text, "another VM decides; query the one whose status "
-                              "has deciding=true\n");
+        g_string_append(text, "another VM decides; ask the one whose status "
+                              "says deciding\n");
     }
 }
 
--- a/src/work/request.c
+++ b/src/work/request.c
@@ -227,7 +227,7 @@
     {
         if (!in_list(known, field) && (more == NULL || !in_list(more, field)))
         {
-            reader_fail(reader, field, "a known field name");
+            reader_fail(reader, field, "no such field");
         }
     }
 }
--- a/src/work/work.c
+++ b/src/work/work.c
@@ -40,14 +40,12 @@
            size_t size)
 {
     if (step->tasks == 0 || step->tasks > CW_TASKS_MAX) {
-        g_snprintf(detail, size, "step %u: number of tasks is out of range",
-                   number);
+        g_snprintf(detail, size, "step %u: count of tasks", number);
         return CW_REF_MALFORMED;
     }
     for (u_int i = 0; i < step->after.after_len; i++) {
         if (step->after.after_val[i] >= number) {
-            g_snprintf(detail, size, "step %u depends on a later step",
-                       number);
+            g_snprintf(detail, size, "step %u waits for a later step", number);
             return CW_REF_MALFORMED;
         }
     }
