--- a/include/curlewcart/cw_bundle.h
+++ b/include/curlewcart/cw_bundle.h
@@ -1,7 +1,7 @@
-/* The configuration bundle: what operators sign off and daemons apply.
+/* The configuration bundle, which operators sign and daemons apply.
  *
- * A bundle is read from YAML, checked, and then never changed; it is shared
- * by reference count between threads.
+ * A bundle is read from YAML and checked, and is immutable from then on;
+ * threads share it by reference count.
  */
 #ifndef CURLEWCART_CW_BUNDLE_H
 #define CURLEWCART_CW_BUNDLE_H
@@ -18,10 +18,10 @@
 /* A data centre. */
 struct cw_dc_def {
     char *name;
-    bool out; /* declared out of service: takes no new requests */
+    bool out_of_service; /* as declared here; accepts no new requests */
 };
 
-/* A worker, its place and its size. */
+/* A worker, its location and its capacity. */
 struct cw_worker_def {
     char *name;
     char *dc;
@@ -30,15 +30,15 @@
     unsigned accelerators;
     unsigned cores;
     unsigned memory_mb;
-    unsigned slots;       /* tasks at a time */
-    unsigned connections; /* connections at a time, all VMs together */
+    unsigned slots;       /* limit on concurrent tasks */
+    unsigned connections; /* limit on connections from all VMs together */
 };
 
-/* A guarantee in one data centre. */
+/* Accelerators guaranteed to an account in one data centre. */
 struct cw_guarantee_def {
     char *dc;
     unsigned accelerators;
-    unsigned rack_block; /* of these, in blocks of this size in one rack;
+    unsigned rack_block; /* they come in blocks of this size within one rack;
                             0: anywhere in the data centre */
 };
 
@@ -47,29 +47,29 @@
     char *name;
     char *token_hash; /* hex BLAKE2b-256 of the token */
     unsigned weight;
-    char **dcs; /* where its data may live */
+    char **dcs; /* data centres where its data may be */
     unsigned dcs_count;
     struct cw_guarantee_def *guarantees;
     unsigned guarantees_count;
-    unsigned max_waiting; /* 0: the default limit */
+    unsigned max_waiting; /* jobs; 0: no limit but the policy's */
 };
 
-/* An operator who may sign. */
+/* An operator, who may sign bundles unless revoked. */
 struct cw_operator_def {
     char *name;
     char *public_key; /* hex Ed25519 */
     bool revoked;
 };
 
-/* Numbers that steer the policy.  Zero means the default. */
+/* Numbers of the policy.  Zero means the default. */
 struct cw_policy_def {
-    unsigned signatures;    /* needed to accept a change; least 1 */
-    unsigned spare_workers; /* per rack, not counted on for guarantees */
+    unsigned signatures;    /* required to accept a change; at least 1 */
+    unsigned spare_workers; /* per rack, left out of the plan of guarantees */
     unsigned max_waiting;   /* per data centre */
     unsigned max_attempts;
 };
 
-/* The document as it stands in YAML. */
+/* The YAML document. */
 struct cw_bundle_doc {
     struct cw_policy_def policy;
     struct cw_dc_def *dcs;
@@ -94,33 +94,38 @@
     GHashTable *dcs;      /* name -> struct cw_dc_def */
 };
 
-/* Parses and checks a bundle.  `problems` gets one line for each problem
- * found, with line and field where YAML is at fault; it may be NULL.
+/* Parses and checks a bundle.  Adds a line to `problems`, which may be NULL,
+ * for each problem found, with line and field for errors of the YAML.
  * Returns a bundle with one reference, or NULL. */
 struct cw_bundle *
 cw_bundle_parse(const void *text, size_t length, GString *problems);
 
+/* Adds a reference; returns the bundle. */
 struct cw_bundle *cw_bundle_ref(struct cw_bundle *bundle);
+
+/* Drops a reference; the last one frees the bundle.  NULL is ignored. */
 void cw_bundle_unref(struct cw_bundle *bundle);
 
-/* Account by name, or NULL.  Borrowed from the bundle. */
+/* Account of this name, or NULL.  Borrowed from the bundle. */
 const struct cw_account_def *
 cw_bundle_account(const struct cw_bundle *bundle, const char *name);
 
-/* True if the account's data may live in `dc`. */
-bool cw_bundle_permits(const struct cw_account_def *account, const char *dc);
+/* True if the account's data may be in `dc`. */
+bool cw_bundle_account_permits_dc(const struct cw_account_def *account,
+                                  const char *dc);
 
 /* Accelerators guaranteed to the account in `dc`. */
 unsigned
 cw_bundle_guarantee(const struct cw_account_def *account, const char *dc);
 
-/* CW_OK if the job could ever run on idle workers where its account's data
- * may live, else the refusal that names what is missing. */
+/* CW_OK if the job would fit if all workers were idle, in the data centres
+ * that the job and its account permit; else the refusal that names what is
+ * missing. */
 enum cw_result cw_bundle_fits(const struct cw_bundle *bundle,
                               const struct cw_work_spec *spec);
 
-/* What the scheduler has to know of the bundle: accounts with their data
- * centres and guarantees, and one queue for jobs on the workers of
+/* Routing data that the scheduler needs from the bundle: accounts with their
+ * data centres and guarantees, and one queue for jobs on the workers of
  * `service`.  Owned by the caller (cw_routing_unref). */
 struct cw_routing *
 cw_bundle_routing(const struct cw_bundle *bundle, const char *service);
@@ -129,26 +134,26 @@
 bool
 cw_bundle_token_ok(const struct cw_account_def *account, const char *token);
 
-/* Lists in words what differs from `before` to `after`, a line each. */
+/* Adds a line to `out` for each change from `before` to `after`. */
 void cw_bundle_diff(const struct cw_bundle *before,
                     const struct cw_bundle *after, GString *out);
 
-/* Share of each rack that is set aside in the plan of guarantees. */
+/* Accelerators of one rack that the plan sets aside for one account. */
 struct cw_plan_share {
     const char *rack; /* borrowed from the bundle */
     const char *account;
     unsigned accelerators;
 };
 
-/* Plans which racks of `dc` hold which guarantees.
+/* Assigns the guarantees in `dc` to racks.
  *
  * Returns an array of struct cw_plan_share (free with g_array_unref), or
- * NULL if the guarantees cannot all be held at once; then `problems` says
- * whose. */
-GArray *cw_bundle_plan(const struct cw_bundle *bundle, const char *dc,
-                       GString *problems);
+ * NULL if the guarantees cannot all be held at once; then a line in `problems`
+ * names the first account whose guarantee cannot. */
+GArray *cw_bundle_plan_guarantees(const struct cw_bundle *bundle,
+                                  const char *dc, GString *problems);
 
-/* Policy numbers with the defaults filled in. */
+/* The bundle's policy with the defaults filled in. */
 struct cw_policy_def cw_bundle_policy(const struct cw_bundle *bundle);
 
 #endif
--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -1,7 +1,7 @@
 # Functions that start a small deployment on loopback: the stand-in for the
 # platform's store and workers, and daemons in three data centres that serve
 # the project's own interface.  Sourced by the demo and the tests with real
-# processes.  Ports come from the kernel; only processes started here are
+# processes.  The kernel assigns the ports; only processes started here are
 # ended, by their ids.
 
 ROOT=$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)
@@ -16,7 +16,8 @@
     exit 1
 }
 
-# Waits until a command succeeds: await SECONDS COMMAND...
+# await SECONDS COMMAND...: retries a command until it succeeds; fails after
+# SECONDS.
 await() {
     local tries=$(($1 * 20))
     shift
@@ -27,14 +28,14 @@
     return 1
 }
 
-# The system gives the ids of ended processes to others, perhaps of another
-# run: a signal goes only to a child that this shell still has.
-runs() { # NAME
+# The system reuses the ids of ended processes, perhaps for a process of another
+# test run: only a child that this shell still has is signalled.
+is_running() { # NAME
     [[ " $(jobs -pr | tr '\n' ' ')" == *" ${PID[$1]:-none} "* ]]
 }
 
 signal_to() { # SIGNAL NAME
-    runs "$2" && kill "-$1" "${PID[$2]}" 2>/dev/null
+    is_running "$2" && kill "-$1" "${PID[$2]}" 2>/dev/null
 }
 
 now_ms() { echo $((${EPOCHREALTIME/./} / 1000)); }
@@ -64,7 +65,7 @@
     done
 }
 
-# ---- links that misbehave (tools/proxy) ----
+# ---- links through the proxy, which injects faults (tools/proxy) ----
 
 start_proxy() {
     mkfifo "$DIR/proxy.in"
@@ -73,16 +74,17 @@
     exec 9>"$DIR/proxy.in"
 }
 
-# link NAME HOST:PORT: prints the port that leads there.
-link() {
+# add_link NAME HOST:PORT: prints the proxy's port that forwards to it.
+add_link() {
     echo "add $1 $2" >&9
     await 5 grep -q "^$1 " "$DIR/proxy.out" || die "no link $1"
     sed -n "s/^$1 //p" "$DIR/proxy.out" | head -1
 }
 
-misbehave() { echo "$*" >&9; }
+proxy_command() { echo "$*" >&9; } # COMMAND...: as at the head of proxy.c
 
-# The stand-in tells where its workers listen and waits for the links.
+# Adds a link to each worker.  The stand-in prints its workers' addresses and
+# waits for the file with the links.
 link_workers() { # COUNT
     await 5 eval "[ \$(grep -c ^worker= '$DIR/trace') = $1 ]" ||
         die "no workers"
@@ -93,9 +95,10 @@
     mv "$DIR/worker-links.new" "$DIR/worker-links"
 }
 
-# start_platform WORKERS_PER_RACK RACKS: the same in each data centre.  What
-# workers start and end goes to $DIR/trace.  After start_proxy the workers are
-# behind it.
+# start_platform WORKERS_PER_RACK RACKS: starts the stand-in with so many racks
+# in each data centre.  It writes the starts and ends of tasks at its workers to
+# $DIR/trace.  If start_proxy was called before, the workers are reached through
+# the proxy.
 start_platform() {
     local dc rack i
     mkfifo "$DIR/platform.in"
@@ -119,17 +122,17 @@
     done
 }
 
-# A worker dies for good: nothing answers in its place.
+# Ends a worker for good: nothing answers at its address any more.
 lose_worker() { # NAME
-    misbehave "cut worker.$1 both"
+    proxy_command "cut worker.$1 both"
     echo "lose $1" >&8
 }
 
-store_away() { signal_to USR1 platform; }
-store_back() { signal_to USR2 platform; }
+make_store_unavailable() { signal_to USR1 platform; }
+make_store_available() { signal_to USR2 platform; }
 
-# Sets VMS, lines "VM:DC", and NAMES.
-name_vms() { # COUNT
+# Sets VMS, an array of "VM:DC", and NAMES, an array of the VMs.
+set_vm_names() { # COUNT
     local i
     VMS=(olbin-1:hall-olbin olbin-2:hall-olbin krzyki-1:hall-krzyki
         krzyki-2:hall-krzyki psie-1:hall-psie-pole)
@@ -172,8 +175,8 @@
     CALLERS[$1]=$(sed -n 's/^callers=//p' "$DIR/$1.ports")
 }
 
-start_again() { # VM: one that has ended
-    runs "$1" && return
+restart_daemon() { # VM: does nothing if it is still running
+    is_running "$1" && return
     start_daemon "$1" "$(dc_of "$1")"
 }
 
@@ -228,7 +231,7 @@
         --token-file "$DIR/$2.token" --wait-ms "${4:-30000}" --output json
 }
 
-# field FILE NAME: of an answer.
+# field FILE NAME: prints a field of an answer in a file.
 field() { sed -n "s/^  \"$2\": \"\{0,1\}\([^\",]*\).*/\1/p" "$1" | head -1; }
 
 outcome_of() { sed -n 's/^  "outcome": "\(.*\)",*$/\1/p' <<<"$1"; }
@@ -240,7 +243,7 @@
     done
 }
 
-decider_of() { # VM...: prints the one that decides
+decider_of() { # VM...: prints the one that makes the decisions
     local vm
     for vm in "$@"; do
         [ -n "${PID[$vm]:-}" ] &&
@@ -251,6 +254,7 @@
 
 one_decides() { [ -n "$(decider_of "$@")" ]; }
 
+# logged EVENT: prints how often all daemons logged an event.
 logged() { cat "$DIR"/*.log | grep -c " event=$1 "; }
 
 call() { # METHOD PATH ACCOUNT [BODY]: prints the answer's JSON
@@ -258,17 +262,19 @@
         -H "Authorization: Bearer token-$3" ${4:+-d "$4"} "$2"
 }
 
-told() { sed -n "s/.*\"$2\": *\"\{0,1\}\([a-z0-9_]*\).*/\1/p" <<<"$1"; }
+# json_value JSON NAME: prints a string or number of an object.
+json_value() { sed -n "s/.*\"$2\": *\"\{0,1\}\([a-z0-9_]*\).*/\1/p" <<<"$1"; }
 
-# How long scripts/still bears that nothing of a job is at work: 3 s, and the
-# rest for what measures it, which is on the same machine: the stand-in's steps
-# of 20 ms, and a core that it waits for.
-STILL_BORNE_MS=3250
+# Limit of scripts/still on the time during which no task of a job runs: 3 s,
+# and a margin because the measurement runs on the same machine: the stand-in
+# works in steps of 20 ms and waits for a core.
+STILL_LIMIT_MS=3250
 
-# job_of ACCOUNT ID: the name that workers know a request by.
+# job_of ACCOUNT ID: prints the job's name, by which workers know a request.
 job_of() { printf '%s/%s' "$1" "$2" | b2sum -l 128 | cut -c1-16; }
 
-# runs_of JOB: how often each of its tasks was started, most first.
+# runs_of JOB: prints how often each of its tasks was started, highest count
+# first.
 runs_of() {
     grep "^started task=$1\." "$DIR/trace" | awk '{ n[$2]++ }
         END { for (t in n) print n[t] }' | sort -rn
--- a/src/bundle/bundle.c
+++ b/src/bundle/bundle.c
@@ -1,4 +1,4 @@
-/* Bundles: parsing, lookups and the fixed functions of their content. */
+/* Configuration bundles: parsing, lookups and what is derived from them. */
 #include "curlewcart/cw_bundle.h"
 
 #include <string.h>
@@ -13,11 +13,11 @@
     DEFAULT_SIGNATURES = 1,
     DEFAULT_MAX_WAITING = 20000,
     DEFAULT_MAX_ATTEMPTS = 4,
-    MILLI = 1000
+    MILLI_PER_CORE = 1000
 };
 
 static unsigned
-or_default(unsigned value, unsigned fallback)
+value_or_default(unsigned value, unsigned fallback)
 {
     return value != 0 ? value : fallback;
 }
@@ -25,12 +25,15 @@
 struct cw_policy_def
 cw_bundle_policy(const struct cw_bundle *bundle)
 {
-    struct cw_policy_def p = bundle->doc->policy;
-
-    p.signatures = or_default(p.signatures, DEFAULT_SIGNATURES);
-    p.max_waiting = or_default(p.max_waiting, DEFAULT_MAX_WAITING);
-    p.max_attempts = or_default(p.max_attempts, DEFAULT_MAX_ATTEMPTS);
-    return p;
+    struct cw_policy_def policy = bundle->doc->policy;
+
+    policy.signatures =
+        value_or_default(policy.signatures, DEFAULT_SIGNATURES);
+    policy.max_waiting =
+        value_or_default(policy.max_waiting, DEFAULT_MAX_WAITING);
+    policy.max_attempts =
+        value_or_default(policy.max_attempts, DEFAULT_MAX_ATTEMPTS);
+    return policy;
 }
 
 static void
@@ -54,7 +57,7 @@
 struct cw_bundle *
 cw_bundle_parse(const void *text, size_t length, GString *problems)
 {
-    GString *own = g_string_new(NULL);
+    GString *found = g_string_new(NULL);
     struct cw_bundle *bundle = g_new0(struct cw_bundle, 1);
     void *doc = NULL;
 
@@ -64,22 +67,23 @@
     bundle->workers = g_hash_table_new(g_str_hash, g_str_equal);
     bundle->dcs = g_hash_table_new(g_str_hash, g_str_equal);
     crypto_generichash(bundle->hash, CW_HASH_BYTES, text, length, NULL, 0);
-    if (cw_yaml_load(text, length, &cw_bundle_schema, &doc, own) != CYAML_OK) {
+    if (cw_yaml_load(text, length, &cw_bundle_schema, &doc, found) != CYAML_OK)
+    {
         goto error;
     }
     bundle->doc = doc;
     index_names(bundle);
-    if (!cw_bundle_check(bundle, own)) {
+    if (!cw_bundle_check(bundle, found)) {
         goto error;
     }
-    g_string_free(own, TRUE);
+    g_string_free(found, TRUE);
     return bundle;
 
 error:
     if (problems != NULL) {
-        g_string_append(problems, own->str);
+        g_string_append(problems, found->str);
     }
-    g_string_free(own, TRUE);
+    g_string_free(found, TRUE);
     cw_bundle_unref(bundle);
     return NULL;
 }
@@ -112,7 +116,8 @@
 }
 
 bool
-cw_bundle_permits(const struct cw_account_def *account, const char *dc)
+cw_bundle_account_permits_dc(const struct cw_account_def *account,
+                             const char *dc)
 {
     for (unsigned i = 0; i < account->dcs_count; i++) {
         if (strcmp(account->dcs[i], dc) == 0) {
@@ -133,7 +138,7 @@
     return 0;
 }
 
-/* ---- what can never run ---- */
+/* ---- jobs that can never run ---- */
 
 static bool
 spec_allows_dc(const struct cw_work_spec *spec, const char *dc)
@@ -156,73 +161,78 @@
 {
     const struct cw_dc_def *def = g_hash_table_lookup(bundle->dcs, dc);
 
-    return def != NULL && !def->out && cw_bundle_permits(account, dc) &&
+    return def != NULL && !def->out_of_service &&
+           cw_bundle_account_permits_dc(account, dc) &&
            spec_allows_dc(spec, dc);
 }
 
-/* How many of the step's tasks an idle worker could hold. */
+/* Number of the step's tasks that fit on the worker when it is idle. */
 static unsigned
-worker_capacity(const struct cw_worker_def *worker,
-                const struct cw_step_spec *step)
+tasks_per_worker(const struct cw_worker_def *worker,
+                 const struct cw_step_spec *step)
 {
-    unsigned capacity = worker->slots;
+    unsigned tasks = worker->slots;
 
     if (step->accelerators > 0) {
-        capacity = MIN(capacity, worker->accelerators / step->accelerators);
+        tasks = MIN(tasks, worker->accelerators / step->accelerators);
     }
     if (step->cpu_milli > 0) {
-        capacity = MIN(capacity, worker->cores * MILLI / step->cpu_milli);
+        tasks = MIN(tasks, worker->cores * MILLI_PER_CORE / step->cpu_milli);
     }
     if (step->memory_mb > 0) {
-        capacity = MIN(capacity, worker->memory_mb / step->memory_mb);
+        tasks = MIN(tasks, worker->memory_mb / step->memory_mb);
     }
-    return capacity;
+    return tasks;
 }
 
-/* What idle workers could hold of a step, in tasks. */
-struct step_room {
-    unsigned worker; /* the best worker */
-    unsigned rack;   /* the best rack */
+/* Number of a step's tasks that fit on the workers when all are idle. */
+struct step_capacity {
+    unsigned max_per_worker;
+    unsigned max_per_rack;
     unsigned total;
 };
 
-static struct step_room
-step_room(const struct cw_bundle *bundle, const struct cw_account_def *account,
-          const struct cw_work_spec *spec, const struct cw_step_spec *step)
+static struct step_capacity
+step_capacity(const struct cw_bundle *bundle,
+              const struct cw_account_def *account,
+              const struct cw_work_spec *spec, const struct cw_step_spec *step)
 {
     GHashTable *racks = g_hash_table_new(g_str_hash, g_str_equal);
-    struct step_room room = {0};
+    struct step_capacity capacity = {0};
 
     for (unsigned i = 0; i < bundle->doc->workers_count; i++) {
         const struct cw_worker_def *worker = &bundle->doc->workers[i];
-        unsigned capacity;
-        unsigned rack;
+        unsigned worker_tasks;
+        unsigned rack_tasks;
 
         if (!dc_is_usable(bundle, account, spec, worker->dc)) {
             continue;
         }
-        capacity = worker_capacity(worker, step);
-        rack = GPOINTER_TO_UINT(g_hash_table_lookup(racks, worker->rack));
-        rack += capacity;
-        g_hash_table_insert(racks, worker->rack, GUINT_TO_POINTER(rack));
-        room.worker = MAX(room.worker, capacity);
-        room.rack = MAX(room.rack, rack);
-        room.total += capacity;
+        worker_tasks = tasks_per_worker(worker, step);
+        rack_tasks =
+            GPOINTER_TO_UINT(g_hash_table_lookup(racks, worker->rack));
+        rack_tasks += worker_tasks;
+        g_hash_table_insert(racks, worker->rack, GUINT_TO_POINTER(rack_tasks));
+        capacity.max_per_worker = MAX(capacity.max_per_worker, worker_tasks);
+        capacity.max_per_rack = MAX(capacity.max_per_rack, rack_tasks);
+        capacity.total += worker_tasks;
     }
     g_hash_table_unref(racks);
-    return room;
+    return capacity;
 }
 
 static enum cw_result
-step_fits(const struct cw_step_spec *step, const struct step_room *room)
+check_step_fit(const struct cw_step_spec *step,
+               const struct step_capacity *capacity)
 {
-    if (room->worker == 0) {
+    if (capacity->max_per_worker == 0) {
         return CW_REF_WORKER;
     }
-    if (step->gang && step->same_rack && step->tasks > room->rack) {
+    if (step->gang && step->same_rack && step->tasks > capacity->max_per_rack)
+    {
         return CW_REF_RACK;
     }
-    return step->gang && step->tasks > room->total ? CW_REF_GANG : CW_OK;
+    return step->gang && step->tasks > capacity->total ? CW_REF_GANG : CW_OK;
 }
 
 static bool
@@ -253,14 +263,15 @@
     }
     for (u_int i = 0; i < spec->steps.steps_len && result == CW_OK; i++) {
         const struct cw_step_spec *step = &spec->steps.steps_val[i];
-        struct step_room room = step_room(bundle, account, spec, step);
+        struct step_capacity capacity =
+            step_capacity(bundle, account, spec, step);
 
-        result = step_fits(step, &room);
+        result = check_step_fit(step, &capacity);
     }
     return result;
 }
 
-/* ---- what the scheduler has to know ---- */
+/* ---- routing data for the scheduler ---- */
 
 static void
 add_account(struct cw_routing *routing, const struct cw_account_def *def)
@@ -281,7 +292,7 @@
 {
     struct cw_routing *routing = cw_routing_new();
     struct cw_queue *queue = cw_routing_add_queue(routing);
-    struct cw_service *pool = cw_routing_add_service(routing);
+    struct cw_service *worker_service = cw_routing_add_service(routing);
 
     routing->version = bundle->number;
     routing->enforces_residency = true;
@@ -290,12 +301,12 @@
     queue->prefix = g_strdup("");
     queue->service = g_strdup(service);
     queue->max_attempts = cw_bundle_policy(bundle).max_attempts;
-    pool->name = g_strdup(service);
-    pool->enforces_capacity = true;
+    worker_service->name = g_strdup(service);
+    worker_service->enforces_capacity = true;
     for (unsigned i = 0; i < bundle->doc->dcs_count; i++) {
         const struct cw_dc_def *dc = &bundle->doc->dcs[i];
 
-        if (dc->out) {
+        if (dc->out_of_service) {
             g_ptr_array_add(routing->closed_dcs, g_strdup(dc->name));
         }
     }
@@ -310,7 +321,7 @@
 cw_bundle_token_ok(const struct cw_account_def *account, const char *token)
 {
     unsigned char stored[CW_HASH_BYTES];
-    unsigned char given[CW_HASH_BYTES];
+    unsigned char presented[CW_HASH_BYTES];
     size_t length = 0;
 
     if (sodium_hex2bin(stored, sizeof(stored), account->token_hash,
@@ -320,7 +331,7 @@
     {
         return false;
     }
-    crypto_generichash(given, sizeof(given), (const unsigned char *)token,
-                       strlen(token), NULL, 0);
-    return sodium_memcmp(stored, given, sizeof(given)) == 0;
+    crypto_generichash(presented, sizeof(presented),
+                       (const unsigned char *)token, strlen(token), NULL, 0);
+    return sodium_memcmp(stored, presented, sizeof(presented)) == 0;
 }
--- a/src/bundle/bundle_diff.c
+++ b/src/bundle/bundle_diff.c
@@ -1,37 +1,37 @@
-/* What changes from one bundle to another, in words. */
+/* Description of the changes between two bundles, one line each. */
 #include "curlewcart/cw_bundle.h"
 
 #include <string.h>
 
 static void
-diff_number(GString *out, const char *what, const char *name,
+diff_number(GString *out, const char *kind, const char *name,
             const char *field, unsigned before, unsigned after)
 {
     if (before != after) {
-        g_string_append_printf(out, "%s %s: %s %u -> %u\n", what, name, field,
+        g_string_append_printf(out, "%s %s: %s %u -> %u\n", kind, name, field,
                                before, after);
     }
 }
 
 static void
-diff_text(GString *out, const char *what, const char *name, const char *field,
+diff_text(GString *out, const char *kind, const char *name, const char *field,
           const char *before, const char *after)
 {
     if (strcmp(before, after) != 0) {
-        g_string_append_printf(out, "%s %s: %s changes\n", what, name, field);
+        g_string_append_printf(out, "%s %s: %s changes\n", kind, name, field);
     }
 }
 
 static void
-diff_account_places(GString *out, const struct cw_account_def *before,
-                    const struct cw_account_def *after)
+diff_account_dcs(GString *out, const struct cw_account_def *before,
+                 const struct cw_account_def *after)
 {
     for (unsigned i = 0; i < before->dcs_count; i++) {
-        if (!cw_bundle_permits(after, before->dcs[i])) {
+        if (!cw_bundle_account_permits_dc(after, before->dcs[i])) {
             g_string_append_printf(
                 out,
-                "account %s: %s no longer permitted; its work there "
-                "stops or moves\n",
+                "account %s: %s no longer permitted; its jobs there "
+                "stop or move\n",
                 after->name, before->dcs[i]);
         }
         diff_number(out, "account", after->name, before->dcs[i],
@@ -39,7 +39,7 @@
                     cw_bundle_guarantee(after, before->dcs[i]));
     }
     for (unsigned i = 0; i < after->dcs_count; i++) {
-        if (!cw_bundle_permits(before, after->dcs[i])) {
+        if (!cw_bundle_account_permits_dc(before, after->dcs[i])) {
             g_string_append_printf(out, "account %s: %s newly permitted\n",
                                    after->name, after->dcs[i]);
             diff_number(out, "account", after->name, after->dcs[i], 0,
@@ -53,21 +53,21 @@
               GString *out)
 {
     for (unsigned i = 0; i < after->doc->accounts_count; i++) {
-        const struct cw_account_def *now = &after->doc->accounts[i];
-        const struct cw_account_def *was =
-            cw_bundle_account(before, now->name);
+        const struct cw_account_def *new_def = &after->doc->accounts[i];
+        const struct cw_account_def *old_def =
+            cw_bundle_account(before, new_def->name);
 
-        if (was == NULL) {
-            g_string_append_printf(out, "account %s: added\n", now->name);
+        if (old_def == NULL) {
+            g_string_append_printf(out, "account %s: added\n", new_def->name);
             continue;
         }
-        diff_number(out, "account", now->name, "weight", was->weight,
-                    now->weight);
-        diff_number(out, "account", now->name, "max_waiting", was->max_waiting,
-                    now->max_waiting);
-        diff_text(out, "account", now->name, "token", was->token_hash,
-                  now->token_hash);
-        diff_account_places(out, was, now);
+        diff_number(out, "account", new_def->name, "weight", old_def->weight,
+                    new_def->weight);
+        diff_number(out, "account", new_def->name, "max_waiting",
+                    old_def->max_waiting, new_def->max_waiting);
+        diff_text(out, "account", new_def->name, "token", old_def->token_hash,
+                  new_def->token_hash);
+        diff_account_dcs(out, old_def, new_def);
     }
     for (unsigned i = 0; i < before->doc->accounts_count; i++) {
         const char *name = before->doc->accounts[i].name;
@@ -83,21 +83,23 @@
              GString *out)
 {
     for (unsigned i = 0; i < after->doc->workers_count; i++) {
-        const struct cw_worker_def *now = &after->doc->workers[i];
-        const struct cw_worker_def *was =
-            g_hash_table_lookup(before->workers, now->name);
+        const struct cw_worker_def *new_def = &after->doc->workers[i];
+        const struct cw_worker_def *old_def =
+            g_hash_table_lookup(before->workers, new_def->name);
 
-        if (was == NULL) {
+        if (old_def == NULL) {
             g_string_append_printf(out, "worker %s: added in %s %s\n",
-                                   now->name, now->dc, now->rack);
+                                   new_def->name, new_def->dc, new_def->rack);
             continue;
         }
-        diff_number(out, "worker", now->name, "accelerators",
-                    was->accelerators, now->accelerators);
-        diff_number(out, "worker", now->name, "slots", was->slots, now->slots);
-        diff_text(out, "worker", now->name, "rack", was->rack, now->rack);
-        diff_text(out, "worker", now->name, "address", was->address,
-                  now->address);
+        diff_number(out, "worker", new_def->name, "accelerators",
+                    old_def->accelerators, new_def->accelerators);
+        diff_number(out, "worker", new_def->name, "slots", old_def->slots,
+                    new_def->slots);
+        diff_text(out, "worker", new_def->name, "rack", old_def->rack,
+                  new_def->rack);
+        diff_text(out, "worker", new_def->name, "address", old_def->address,
+                  new_def->address);
     }
     for (unsigned i = 0; i < before->doc->workers_count; i++) {
         const char *name = before->doc->workers[i].name;
@@ -124,19 +126,20 @@
                GString *out)
 {
     for (unsigned i = 0; i < after->doc->operators_count; i++) {
-        const struct cw_operator_def *now = &after->doc->operators[i];
-        const struct cw_operator_def *was = find_operator(before, now->name);
+        const struct cw_operator_def *new_def = &after->doc->operators[i];
+        const struct cw_operator_def *old_def =
+            find_operator(before, new_def->name);
 
-        if (was == NULL) {
-            g_string_append_printf(out, "operator %s: added\n", now->name);
+        if (old_def == NULL) {
+            g_string_append_printf(out, "operator %s: added\n", new_def->name);
         }
-        else if (was->revoked != now->revoked) {
-            g_string_append_printf(out, "operator %s: %s\n", now->name,
-                                   now->revoked ? "revoked" : "restored");
+        else if (old_def->revoked != new_def->revoked) {
+            g_string_append_printf(out, "operator %s: %s\n", new_def->name,
+                                   new_def->revoked ? "revoked" : "restored");
         }
         else {
-            diff_text(out, "operator", now->name, "key", was->public_key,
-                      now->public_key);
+            diff_text(out, "operator", new_def->name, "key",
+                      old_def->public_key, new_def->public_key);
         }
     }
     for (unsigned i = 0; i < before->doc->operators_count; i++) {
@@ -152,11 +155,11 @@
 diff_policy(const struct cw_bundle *before, const struct cw_bundle *after,
             GString *out)
 {
-    struct cw_policy_def was = cw_bundle_policy(before);
-    struct cw_policy_def now = cw_bundle_policy(after);
+    struct cw_policy_def old_def = cw_bundle_policy(before);
+    struct cw_policy_def new_def = cw_bundle_policy(after);
 
 #define DIFF_POLICY(field)                                                    \
-    diff_number(out, "policy", "", #field, was.field, now.field)
+    diff_number(out, "policy", "", #field, old_def.field, new_def.field)
     DIFF_POLICY(signatures);
     DIFF_POLICY(spare_workers);
     DIFF_POLICY(max_waiting);
--- a/src/bundle/bundle_schema.c
+++ b/src/bundle/bundle_schema.c
@@ -30,7 +30,8 @@
 static const cyaml_schema_field_t dc_fields[] = {
     CYAML_FIELD_STRING_PTR("name", CYAML_FLAG_POINTER, struct cw_dc_def, name,
                            1, NAME_MAX_BYTES),
-    CYAML_FIELD_BOOL("out", CYAML_FLAG_OPTIONAL, struct cw_dc_def, out),
+    CYAML_FIELD_BOOL("out", CYAML_FLAG_OPTIONAL, struct cw_dc_def,
+                     out_of_service),
     CYAML_FIELD_END,
 };
 
--- a/src/bundle/chain.c
+++ b/src/bundle/chain.c
@@ -1,4 +1,4 @@
-/* Accepting bundles in log order; signatures, seals and changes. */
+/* Accepts bundles in log order: signatures, seals and content of records. */
 #include "curlewcart/cw_chain.h"
 
 #include <stdlib.h>
@@ -8,35 +8,36 @@
 
 #include "curlewcart/cw_xdr.h"
 
-enum { RECORD_FORMAT = 1, CONTENT_MAX = CW_BLOB_MAX };
+enum { RECORD_FORMAT = 1, CONTENT_MAX_BYTES = CW_BLOB_MAX };
 
 struct cw_chain {
     struct cw_chain_options options;
     struct cw_bundle *current;
 };
 
-/* What operators sign and daemons seal: all that identifies the change. */
-struct signed_part {
+/* The bytes that operators sign and daemons seal.  They identify the change:
+ * its number, its parent's hash and its content's hash. */
+struct signed_fields {
     unsigned char label[16];
     unsigned char number[4];
     unsigned char parent_hash[CW_HASH_BYTES];
     unsigned char content_hash[CW_HASH_BYTES];
 };
 
-static struct signed_part
-signed_part(const struct cw_bundle_rec *record, const char *label)
+static struct signed_fields
+make_signed_fields(const struct cw_bundle_rec *record, const char *label)
 {
-    struct signed_part part;
+    struct signed_fields fields;
     unsigned number = record->number;
 
-    memset(&part, 0, sizeof(part));
-    g_strlcpy((char *)part.label, label, sizeof(part.label));
+    memset(&fields, 0, sizeof(fields));
+    g_strlcpy((char *)fields.label, label, sizeof(fields.label));
     for (int i = 0; i < 4; i++) {
-        part.number[i] = (unsigned char)(number >> (8 * i));
+        fields.number[i] = (unsigned char)(number >> (8 * i));
     }
-    memcpy(part.parent_hash, record->parent_hash, CW_HASH_BYTES);
-    memcpy(part.content_hash, record->content_hash, CW_HASH_BYTES);
-    return part;
+    memcpy(fields.parent_hash, record->parent_hash, CW_HASH_BYTES);
+    memcpy(fields.content_hash, record->content_hash, CW_HASH_BYTES);
+    return fields;
 }
 
 #define SIGN_LABEL "cw-bundle-sign1"
@@ -72,7 +73,8 @@
     return chain->current != NULL ? chain->current->number : 0;
 }
 
-/* Inflates the changed part; exactly middle_size bytes. */
+/* Inflates the bytes that differ from the parent's content; NULL unless there
+ * are exactly middle_size of them. */
 static unsigned char *
 inflate_middle(const struct cw_bundle_rec *record)
 {
@@ -90,8 +92,8 @@
 }
 
 GBytes *
-cw_chain_content(const struct cw_bundle_rec *record,
-                 const struct cw_bundle *parent)
+cw_chain_decode_content(const struct cw_bundle_rec *record,
+                        const struct cw_bundle *parent)
 {
     unsigned char hash[CW_HASH_BYTES];
     const unsigned char *base = NULL;
@@ -102,7 +104,8 @@
     if (parent != NULL) {
         base = g_bytes_get_data(parent->content, &base_size);
     }
-    if (record->middle_size > CONTENT_MAX || record->prefix > base_size ||
+    if (record->middle_size > CONTENT_MAX_BYTES ||
+        record->prefix > base_size ||
         record->suffix > base_size - record->prefix)
     {
         return NULL;
@@ -126,7 +129,9 @@
     return g_byte_array_free_to_bytes(content);
 }
 
-/* Hex public key of a signer whom the parent (or the settings) lists. */
+/* Hex public key of an operator: from the bundle in force, which the record
+ * changes, or from the settings if there is none yet.  NULL if the operator
+ * isn't listed there or is revoked. */
 static const char *
 signer_key(const struct cw_chain *chain, const char *name)
 {
@@ -149,10 +154,11 @@
 }
 
 static bool
-signature_ok(const struct cw_chain *chain, const struct cw_bundle_rec *record,
-             const struct cw_signature *signature)
+signature_is_valid(const struct cw_chain *chain,
+                   const struct cw_bundle_rec *record,
+                   const struct cw_signature *signature)
 {
-    struct signed_part part = signed_part(record, SIGN_LABEL);
+    struct signed_fields fields = make_signed_fields(record, SIGN_LABEL);
     const char *hex = signer_key(chain, signature->operator_name);
     unsigned char key[crypto_sign_PUBLICKEYBYTES];
     size_t length = 0;
@@ -162,12 +168,12 @@
                           NULL) == 0 &&
            length == sizeof(key) &&
            crypto_sign_verify_detached((const unsigned char *)signature->bytes,
-                                       (const unsigned char *)&part,
-                                       sizeof(part), key) == 0;
+                                       (const unsigned char *)&fields,
+                                       sizeof(fields), key) == 0;
 }
 
 static bool
-signed_before(const struct cw_bundle_rec *record, unsigned index)
+has_earlier_signature(const struct cw_bundle_rec *record, unsigned index)
 {
     const struct cw_signature *all = record->signatures.signatures_val;
 
@@ -183,30 +189,31 @@
 signatures_suffice(const struct cw_chain *chain,
                    const struct cw_bundle_rec *record)
 {
-    unsigned need = 1;
-    unsigned have = 0;
+    unsigned required = 1;
+    unsigned valid = 0;
 
     if (chain->current != NULL) {
-        need = cw_bundle_policy(chain->current).signatures;
+        required = cw_bundle_policy(chain->current).signatures;
     }
     for (unsigned i = 0; i < record->signatures.signatures_len; i++) {
-        if (!signed_before(record, i) &&
-            signature_ok(chain, record, &record->signatures.signatures_val[i]))
+        if (!has_earlier_signature(record, i) &&
+            signature_is_valid(chain, record,
+                               &record->signatures.signatures_val[i]))
         {
-            have++;
+            valid++;
         }
     }
-    return have >= need;
+    return valid >= required;
 }
 
 static bool
-seal_ok(const struct cw_chain *chain, const struct cw_bundle_rec *record)
+seal_is_valid(const struct cw_chain *chain, const struct cw_bundle_rec *record)
 {
-    struct signed_part part = signed_part(record, SEAL_LABEL);
+    struct signed_fields fields = make_signed_fields(record, SEAL_LABEL);
 
     return record->sealed && chain->options.seal_key != NULL &&
            crypto_auth_verify((const unsigned char *)record->seal,
-                              (const unsigned char *)&part, sizeof(part),
+                              (const unsigned char *)&fields, sizeof(fields),
                               chain->options.seal_key) == 0;
 }
 
@@ -224,7 +231,7 @@
 }
 
 static void
-say(GString *problems, const char *text)
+add_problem(GString *problems, const char *text)
 {
     if (problems != NULL) {
         g_string_append(problems, text);
@@ -242,7 +249,7 @@
     const void *text;
 
     if (record->format != RECORD_FORMAT) {
-        say(problems, "unknown format of the record");
+        add_problem(problems, "unknown record format");
         return CW_DROP_BUNDLE;
     }
     if (record->number <= cw_chain_number(chain)) {
@@ -250,15 +257,16 @@
     }
     if (!(follows_current(chain, record) &&
           signatures_suffice(chain, record)) &&
-        !seal_ok(chain, record))
+        !seal_is_valid(chain, record))
     {
-        say(problems, "it does not follow the version in force, or lacks "
-                      "signatures of operators listed there");
+        add_problem(problems,
+                    "not based on the version in force, or without enough "
+                    "signatures of operators listed there");
         return CW_DROP_BUNDLE;
     }
-    content = cw_chain_content(record, chain->current);
+    content = cw_chain_decode_content(record, chain->current);
     if (content == NULL) {
-        say(problems, "its content does not decode");
+        add_problem(problems, "the content cannot be decoded");
         return CW_DROP_BUNDLE;
     }
     text = g_bytes_get_data(content, &size);
@@ -274,18 +282,18 @@
 }
 
 static void
-find_common(const unsigned char *a, size_t a_size, const unsigned char *b,
-            size_t b_size, unsigned *prefix, unsigned *suffix)
+find_common_ends(const unsigned char *a, size_t a_size, const unsigned char *b,
+                 size_t b_size, unsigned *prefix, unsigned *suffix)
 {
-    size_t least = MIN(a_size, b_size);
+    size_t shorter = MIN(a_size, b_size);
     size_t head = 0;
     size_t tail = 0;
 
-    while (head < least && a[head] == b[head]) {
+    while (head < shorter && a[head] == b[head]) {
         head++;
     }
-    while (tail < least - head && a[a_size - 1 - tail] == b[b_size - 1 - tail])
-    {
+    while (tail < shorter - head &&
+           a[a_size - 1 - tail] == b[b_size - 1 - tail]) {
         tail++;
     }
     *prefix = (unsigned)head;
@@ -316,7 +324,7 @@
     gsize base_size = 0;
 
     memset(record, 0, sizeof(*record));
-    if (length > CONTENT_MAX) {
+    if (length > CONTENT_MAX_BYTES) {
         return false;
     }
     record->format = RECORD_FORMAT;
@@ -329,8 +337,8 @@
     }
     crypto_generichash((unsigned char *)record->content_hash, CW_HASH_BYTES,
                        content, length, NULL, 0);
-    find_common(base, base_size, content, length, &record->prefix,
-                &record->suffix);
+    find_common_ends(base, base_size, content, length, &record->prefix,
+                     &record->suffix);
     record->middle_size = (unsigned)(length - record->prefix - record->suffix);
     deflate_middle(record, (const unsigned char *)content + record->prefix);
     return true;
@@ -340,7 +348,7 @@
 cw_chain_sign(struct cw_bundle_rec *record, const char *operator_name,
               const unsigned char *secret_key)
 {
-    struct signed_part part = signed_part(record, SIGN_LABEL);
+    struct signed_fields fields = make_signed_fields(record, SIGN_LABEL);
     unsigned n = record->signatures.signatures_len;
     struct cw_signature *all;
 
@@ -351,7 +359,7 @@
     record->signatures.signatures_val = all;
     all[n].operator_name = strdup(operator_name);
     crypto_sign_detached((unsigned char *)all[n].bytes, NULL,
-                         (const unsigned char *)&part, sizeof(part),
+                         (const unsigned char *)&fields, sizeof(fields),
                          secret_key);
     record->signatures.signatures_len = n + 1;
     return true;
@@ -360,7 +368,7 @@
 bool
 cw_chain_export(const struct cw_chain *chain, struct cw_bundle_rec *record)
 {
-    struct signed_part part;
+    struct signed_fields fields;
     const void *content;
     gsize size;
 
@@ -373,9 +381,9 @@
     }
     record->number = chain->current->number;
     record->parent = chain->current->number - 1;
-    part = signed_part(record, SEAL_LABEL);
+    fields = make_signed_fields(record, SEAL_LABEL);
     record->sealed = TRUE;
-    crypto_auth((unsigned char *)record->seal, (const unsigned char *)&part,
-                sizeof(part), chain->options.seal_key);
+    crypto_auth((unsigned char *)record->seal, (const unsigned char *)&fields,
+                sizeof(fields), chain->options.seal_key);
     return true;
 }
--- a/src/bundle/internal/bundle_check.h
+++ b/src/bundle/internal/bundle_check.h
@@ -1,4 +1,4 @@
-/* Checks beyond the schema, private to the bundle package. */
+/* Checks that the YAML schema can't express, private to the bundle package. */
 #ifndef BUNDLE_INTERNAL_BUNDLE_CHECK_H
 #define BUNDLE_INTERNAL_BUNDLE_CHECK_H
 
@@ -6,8 +6,8 @@
 
 #include "curlewcart/cw_bundle.h"
 
-/* True if the document is coherent and every guarantee can be held.  Adds
- * a line to `problems` for each fault found. */
+/* True if the document is consistent and all guarantees can be held together.
+ * Adds a line to `problems` for each fault found. */
 bool cw_bundle_check(const struct cw_bundle *bundle, GString *problems);
 
 #endif
--- a/src/bundle/internal/bundle_schema.h
+++ b/src/bundle/internal/bundle_schema.h
@@ -4,6 +4,7 @@
 
 #include <cyaml/cyaml.h>
 
+/* Schema of the whole document, which is loaded as a struct cw_bundle_doc. */
 extern const cyaml_schema_value_t cw_bundle_schema;
 
 #endif
--- a/src/cli/cli.c
+++ b/src/cli/cli.c
@@ -1,4 +1,4 @@
-/* curlewcart: one program, with a command in its first words. */
+/* The curlewcart program: its first words name a command. */
 #include <argp.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,12 +8,14 @@
 #include "cli/internal/cli_private.h"
 #include "curlewcart/cw_version.h"
 
+enum { DEFAULT_WAIT_MS = 30000 };
+
 const char *argp_program_version = "curlewcart " CW_VERSION;
 
 const struct cli_command cli_commands[] = {
     {"serve", "", "Runs the daemon of this VM.", 0, 0, cli_serve},
     {"settings check", "FILE",
-     "Finds all that would keep 'serve' from starting.", 1, 1,
+     "Lists all problems that would prevent 'serve' from starting.", 1, 1,
      cli_settings_check},
     {"submit", "[FILE]",
      "Submits a request (JSON from FILE or standard input) and waits for "
@@ -21,43 +23,43 @@
      0, 1, cli_submit},
     {"wait", "ID", "Waits for a request's outcome.", 1, 1, cli_wait},
     {"cancel", "ID", "Cancels a request.", 1, 1, cli_cancel},
-    {"job", "ID", "Shows what is known of a request.", 1, 1, cli_job},
-    {"explain", "ID", "Says why a request is where it is.", 1, 1, cli_explain},
+    {"job", "ID", "Shows the state of a request.", 1, 1, cli_job},
+    {"explain", "ID", "Explains the state of a request.", 1, 1, cli_explain},
     {"logs explain", "ID FILE...",
-     "Tells a request's story from the daemons' logs, and its cause.", 2,
-     CLI_ARGS_MOST, cli_logs_explain},
+     "Lists a request's events in the daemons' logs, and the cause.", 2,
+     CLI_ARGS_MAX, cli_logs_explain},
     {"logs timeline", "FILE...",
-     "Shows changes of owner, dependencies and workers from logs.", 1,
-     CLI_ARGS_MOST, cli_logs_timeline},
+     "Lists changes of owner, dependencies and workers in logs.", 1,
+     CLI_ARGS_MAX, cli_logs_timeline},
     {"status", "", "Shows the daemon and its role.", 0, 0, cli_status},
-    {"workers", "", "Lists the workers that this VM decides for.", 0, 0,
+    {"workers", "", "Lists the workers that this VM schedules work on.", 0, 0,
      cli_workers},
     {"accounts", "", "Lists the client accounts in force.", 0, 0,
      cli_accounts},
     {"counters", "", "Prints the daemon's counters.", 0, 0, cli_counters},
-    {"audit", "", "Lists where requests ran (--account to narrow).", 0, 0,
+    {"audit", "", "Lists where requests ran (--account: only its own).", 0, 0,
      cli_audit},
-    {"bundle check", "FILE", "Proves that a bundle could be accepted.", 1, 1,
+    {"bundle check", "FILE", "Checks that a bundle could be accepted.", 1, 1,
      cli_bundle_check},
-    {"bundle diff", "BEFORE AFTER", "Says in words what changes.", 2, 2,
-     cli_bundle_diff},
+    {"bundle diff", "BEFORE AFTER", "Lists the changes between two bundles.",
+     2, 2, cli_bundle_diff},
     {"bundle propose", "FILE",
-     "Makes a proposal (--out) of FILE on the version in force.", 1, 1,
-     cli_bundle_propose},
+     "Writes a proposal (--out) to replace the version in force by FILE.", 1,
+     1, cli_bundle_propose},
     {"bundle review", "PROPOSAL",
-     "Shows what a proposal changes and who signed it.", 1, 1,
+     "Lists the changes of a proposal and who signed it.", 1, 1,
      cli_bundle_review},
     {"bundle sign", "PROPOSAL",
      "Adds a signature (--operator, --key-file) to a proposal.", 1, 1,
      cli_bundle_sign},
     {"bundle accept", "PROPOSAL",
-     "Offers a signed proposal and waits for the verdict.", 1, 1,
+     "Submits a signed proposal and waits for the result.", 1, 1,
      cli_bundle_accept},
     {"bundle show", "", "Prints the bundle in force.", 0, 0, cli_bundle_show},
     {"bundle status", "",
-     "Shows which version the VM applies (--wait: until it has one).", 0, 0,
-     cli_bundle_status},
-    {"key new", "", "Makes a signing key (--out) and prints its public half.",
+     "Shows the version in force on the VM (--wait: until there is one).", 0,
+     0, cli_bundle_status},
+    {"key new", "", "Creates a signing key (--out) and prints its public key.",
      0, 0, cli_key_new},
     {"token hash", "", "Prints the hash of a token read from standard input.",
      0, 0, cli_token_hash},
@@ -82,30 +84,30 @@
 
 static const struct argp_option options[] = {
     {"server", KEY_SERVER, "URL", 0,
-     "Daemon to talk to (or CURLEWCART_SERVER)", 0},
+     "Daemon to connect to (or CURLEWCART_SERVER)", 0},
     {"account", KEY_ACCOUNT, "NAME", 0,
      "Client account (or CURLEWCART_ACCOUNT)", 0},
     {"token-file", KEY_TOKEN_FILE, "FILE", 0,
      "File with the account's or operator's token (or "
      "CURLEWCART_TOKEN_FILE)",
      0},
-    {"output", KEY_OUTPUT, "table|json", 0, "Form of the output", 0},
+    {"output", KEY_OUTPUT, "table|json", 0, "Output format", 0},
     {"wait-ms", KEY_WAIT_MS, "MS", 0,
-     "How long to wait for an outcome; 0: do not", 0},
+     "Time to wait for an outcome; 0: don't wait", 0},
     {"settings", KEY_SETTINGS, "FILE", 0, "The daemon's settings", 0},
     {"out", KEY_OUT, "FILE", 0, "File to write", 0},
     {"key-file", KEY_KEY_FILE, "FILE", 0, "Secret key to sign with", 0},
     {"operator", KEY_OPERATOR, "NAME", 0, "Operator who signs", 0},
     {"home", KEY_HOME, "DC", 0,
-     "The one data centre that the request may run in", 0},
-    {"wait", KEY_WAIT, NULL, 0, "Wait until it is so", 0},
+     "The only data centre that the request may run in", 0},
+    {"wait", KEY_WAIT, NULL, 0, "Wait until a bundle is in force", 0},
     {0},
 };
 
 static error_t
 parse_argument(struct cli *cli, char *argument, struct argp_state *state)
 {
-    if (cli->args_count >= cli->command->most_args) {
+    if (cli->args_count >= cli->command->max_args) {
         argp_error(state, "unexpected argument \"%s\"", argument);
         return EINVAL;
     }
@@ -158,7 +160,7 @@
     case ARGP_KEY_ARG:
         return parse_argument(cli, value, state);
     case ARGP_KEY_END:
-        if (cli->args_count < cli->command->least_args) {
+        if (cli->args_count < cli->command->min_args) {
             argp_error(state, "missing argument: %s", cli->command->args);
         }
         break;
@@ -175,13 +177,14 @@
                  "A scheduler for multi-accelerator jobs under client "
                  "account guarantees.\n\nCommands:\n");
     for (const struct cli_command *c = cli_commands; c->name != NULL; c++) {
-        fprintf(out, "  %-16s %-14s %s\n", c->name, c->args, c->text);
+        fprintf(out, "  %-16s %-14s %s\n", c->name, c->args, c->summary);
     }
     fprintf(out, "\n'curlewcart COMMAND --help' lists a command's "
                  "options; --version prints the version.\n");
 }
 
-/* How many of the first words name the command; 0 if they do not. */
+/* Number of words in the command's name if the arguments begin with it, else
+ * 0. */
 static int
 match_words(const struct cli_command *command, int argc, char **argv)
 {
@@ -212,7 +215,7 @@
 run_command(struct cli *cli, int argc, char **argv)
 {
     struct argp argp = {
-        options, parse_option, cli->command->args, cli->command->text, NULL,
+        options, parse_option, cli->command->args, cli->command->summary, NULL,
         NULL,    NULL};
     char *name = g_strdup_printf("curlewcart %s", cli->command->name);
     int status;
@@ -232,12 +235,12 @@
         .server = g_getenv("CURLEWCART_SERVER"),
         .account = g_getenv("CURLEWCART_ACCOUNT"),
         .token_file = g_getenv("CURLEWCART_TOKEN_FILE"),
-        .wait_ms = 30000,
+        .wait_ms = DEFAULT_WAIT_MS,
     };
     int words = 0;
 
     if (sodium_init() < 0) {
-        fprintf(stderr, "curlewcart: libsodium cannot start\n");
+        fprintf(stderr, "curlewcart: libsodium cannot be initialized\n");
         return EXIT_NOT_STARTED;
     }
     if (argc > 1 && strcmp(argv[1], "--version") == 0) {
--- a/src/cli/cli_bundle.c
+++ b/src/cli/cli_bundle.c
@@ -8,7 +8,7 @@
 #include "cli/internal/cli_private.h"
 #include "curlewcart/cw_xdr.h"
 
-enum { VERDICT_MS = 9000, STEP_MS = 100 };
+enum { WAIT_MAX_MS = 9000, POLL_INTERVAL_MS = 100 };
 
 static struct cw_bundle *
 load_bundle(const char *path)
@@ -40,8 +40,8 @@
     if (bundle == NULL) {
         return EXIT_INVALID;
     }
-    printf("%s: acceptable: %u data centres, %u workers, %u accounts, every "
-           "guarantee can be held\n",
+    printf("%s: acceptable: %u data centres, %u workers, %u accounts, all "
+           "guarantees can be held\n",
            cli->args[0], bundle->doc->dcs_count, bundle->doc->workers_count,
            bundle->doc->accounts_count);
     cw_bundle_unref(bundle);
@@ -54,7 +54,7 @@
     GString *text = g_string_new(NULL);
 
     cw_bundle_diff(before, after, text);
-    fputs(text->len > 0 ? text->str : "nothing changes\n", stdout);
+    fputs(text->len > 0 ? text->str : "no changes\n", stdout);
     g_string_free(text, TRUE);
 }
 
@@ -74,18 +74,20 @@
     return status;
 }
 
-/* The bundle in force at the server; *out is NULL if there is none. */
+/* Gets the bundle in force at the server; *out is NULL if there is none.
+ * Returns an exit status. */
 static int
 fetch_current(struct cli *cli, struct cw_bundle **out)
 {
     json_t *answer = NULL;
-    long code = cli_http(cli, "GET", "/v1/bundle", NULL, &answer, NULL);
+    long code =
+        cli_http_request(cli, "GET", "/v1/bundle", NULL, &answer, NULL);
     json_int_t version;
     const char *text;
 
     *out = NULL;
     if (code == 0 || answer == NULL) {
-        return cli_unreachable(cli);
+        return cli_report_unreachable(cli);
     }
     if (code != 200) {
         cli_print_json(answer);
@@ -104,7 +106,7 @@
     return EXIT_OK;
 }
 
-/* ---- proposals in files ---- */
+/* ---- files with proposals ---- */
 
 static bool
 save_proposal(const char *path, const struct cw_bundle_rec *record)
@@ -169,7 +171,8 @@
         return EXIT_INVALID;
     }
     if (cli->out == NULL) {
-        fprintf(stderr, "curlewcart: --out names the proposal's file\n");
+        fprintf(stderr,
+                "curlewcart: --out is required: the proposal's file\n");
         goto done;
     }
     status = fetch_current(cli, &current);
@@ -201,7 +204,7 @@
     for (unsigned i = 0; i < record->signatures.signatures_len; i++) {
         printf(" %s", record->signatures.signatures_val[i].operator_name);
     }
-    printf(record->signatures.signatures_len > 0 ? "\n" : " nobody yet\n");
+    printf(record->signatures.signatures_len > 0 ? "\n" : " none\n");
 }
 
 static int
@@ -220,9 +223,9 @@
     printf("version %u on version %u (in force: %u)\n", record->number,
            record->parent, current != NULL ? current->number : 0);
     print_signatures(record);
-    content = cw_chain_content(record, current);
+    content = cw_chain_decode_content(record, current);
     if (content == NULL) {
-        printf("it is not based on the version in force: propose it again\n");
+        printf("not based on the version in force: propose it again\n");
         status = EXIT_CONFLICT;
         goto done;
     }
@@ -263,7 +266,8 @@
     int status = EXIT_INVALID;
 
     if (cli->operator_name == NULL || cli->key_file == NULL) {
-        fprintf(stderr, "curlewcart: --operator and --key-file are needed\n");
+        fprintf(stderr,
+                "curlewcart: --operator and --key-file are required\n");
         return EXIT_USAGE;
     }
     if (!load_proposal(cli->args[0], &record)) {
@@ -281,30 +285,31 @@
     return status;
 }
 
-/* ---- verdict ---- */
+/* ---- acceptance ---- */
 
 static void
-nap(void)
+sleep_poll_interval(void)
 {
-    struct timespec wait = {.tv_nsec = STEP_MS * 1000000L};
+    struct timespec duration = {.tv_nsec = POLL_INTERVAL_MS * 1000000L};
 
-    nanosleep(&wait, NULL);
+    nanosleep(&duration, NULL);
 }
 
-/* Looks until the version is taken, by this proposal or another. */
+/* Polls until the proposal's version number is in force, with this proposal
+ * or with another.  Prints the result and returns an exit status. */
 static int
-await_verdict(struct cli *cli, const struct cw_bundle_rec *record)
+wait_until_accepted(struct cli *cli, const struct cw_bundle_rec *record)
 {
     struct cw_bundle *current = NULL;
 
-    for (int waited = 0; waited < VERDICT_MS; waited += STEP_MS) {
+    for (int waited = 0; waited < WAIT_MAX_MS; waited += POLL_INTERVAL_MS) {
         bool ours;
 
         cw_bundle_unref(current);
         if (fetch_current(cli, &current) != EXIT_OK || current == NULL ||
             current->number < record->number)
         {
-            nap();
+            sleep_poll_interval();
             continue;
         }
         ours = current->number == record->number &&
@@ -313,15 +318,15 @@
             printf("accepted: version %u is in force\n", record->number);
         }
         else {
-            printf("conflict: version %u is in force and is another change; "
-                   "propose yours again on it\n",
+            printf("conflict: version %u is in force with another change; "
+                   "propose yours again on top of it\n",
                    current->number);
         }
         cw_bundle_unref(current);
         return ours ? EXIT_OK : EXIT_CONFLICT;
     }
-    printf("no verdict yet: it may lack signatures, or the log is away; it "
-           "is safe to accept it again\n");
+    printf("no verdict yet: signatures may be missing or the log unavailable; "
+           "it is safe to accept it again\n");
     cw_bundle_unref(current);
     return EXIT_REFUSED;
 }
@@ -341,15 +346,16 @@
         return EXIT_INVALID;
     }
     body = g_strdup_printf("{\"record\":\"%s\"}", g_strstrip(text));
-    code = cli_http(cli, "POST", "/v1/bundle", body, NULL, NULL);
+    code = cli_http_request(cli, "POST", "/v1/bundle", body, NULL, NULL);
     if (code == 0) {
-        status = cli_unreachable(cli);
+        status = cli_report_unreachable(cli);
     }
     else if (code == 202) {
-        status = await_verdict(cli, &record);
+        status = wait_until_accepted(cli, &record);
     }
     else {
-        fprintf(stderr, "curlewcart: the daemon refused it (HTTP %ld)\n",
+        fprintf(stderr,
+                "curlewcart: the daemon refused the proposal (HTTP %ld)\n",
                 code);
     }
     g_free(body);
@@ -381,19 +387,20 @@
 {
     json_int_t version = 0;
 
-    for (int waited = 0; waited <= VERDICT_MS; waited += STEP_MS) {
+    for (int waited = 0; waited <= WAIT_MAX_MS; waited += POLL_INTERVAL_MS) {
         json_t *answer = NULL;
 
-        if (cli_http(cli, "GET", "/v1/status", NULL, &answer, NULL) != 200) {
+        if (cli_http_request(cli, "GET", "/v1/status", NULL, &answer, NULL) !=
+            200) {
             json_decref(answer);
-            return cli_unreachable(cli);
+            return cli_report_unreachable(cli);
         }
         version = json_integer_value(json_object_get(answer, "bundle"));
         json_decref(answer);
         if (version > 0 || !cli->wait) {
             break;
         }
-        nap();
+        sleep_poll_interval();
     }
     printf("version %d\n", (int)version);
     return version > 0 ? EXIT_OK : EXIT_REFUSED;
--- a/src/cli/cli_http.c
+++ b/src/cli/cli_http.c
@@ -1,4 +1,4 @@
-/* Requests from the command line to a daemon. */
+/* HTTP requests from the command line to a daemon. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,10 +7,10 @@
 #include "cli/internal/cli_private.h"
 
 #define DEFAULT_SERVER "http://127.0.0.1:8080"
-enum { CALL_MARGIN_MS = 10000 };
+enum { TIMEOUT_MARGIN_MS = 10000 };
 
 static size_t
-on_body(char *data, size_t size, size_t n, void *context)
+append_body(char *data, size_t size, size_t n, void *context)
 {
     g_string_append_len(context, data, (gssize)(size * n));
     return size * n;
@@ -49,8 +49,8 @@
 }
 
 long
-cli_http(const struct cli *cli, const char *method, const char *path,
-         const char *body, json_t **out, GString *raw)
+cli_http_request(const struct cli *cli, const char *method, const char *path,
+                 const char *body, json_t **out, GString *raw)
 {
     const char *server = cli->server != NULL ? cli->server : DEFAULT_SERVER;
     char *url = g_strconcat(server, path, NULL);
@@ -62,10 +62,10 @@
     curl_easy_setopt(easy, CURLOPT_URL, url);
     curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, method);
     curl_easy_setopt(easy, CURLOPT_HTTPHEADER, headers);
-    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, on_body);
+    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append_body);
     curl_easy_setopt(easy, CURLOPT_WRITEDATA, answer);
     curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS,
-                     (long)cli->wait_ms + CALL_MARGIN_MS);
+                     (long)cli->wait_ms + TIMEOUT_MARGIN_MS);
     if (body != NULL) {
         curl_easy_setopt(easy, CURLOPT_POSTFIELDS, body);
     }
@@ -85,7 +85,7 @@
 }
 
 int
-cli_unreachable(const struct cli *cli)
+cli_report_unreachable(const struct cli *cli)
 {
     fprintf(stderr, "curlewcart: no answer from %s\n",
             cli->server != NULL ? cli->server : DEFAULT_SERVER);
@@ -100,7 +100,7 @@
 }
 
 char *
-cli_escape(const char *text)
+cli_url_escape(const char *text)
 {
     char *escaped = curl_easy_escape(NULL, text, 0);
     char *copy = g_strdup(escaped);
--- a/src/cli/cli_jobs.c
+++ b/src/cli/cli_jobs.c
@@ -1,4 +1,4 @@
-/* Commands of callers: submit, wait, cancel, job. */
+/* Commands for requests: submit, wait, cancel, job. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,10 +6,10 @@
 
 #include "cli/internal/cli_private.h"
 
-enum { STEP_MS = 5000, RETRY_MS = 1000, READ_CHUNK = 4096 };
+enum { WAIT_STEP_MS = 5000, RETRY_MS = 1000, READ_CHUNK_BYTES = 4096 };
 
 static const char *
-text_of(const json_t *value, const char *name)
+member_text(const json_t *value, const char *name)
 {
     const char *text = json_string_value(json_object_get(value, name));
 
@@ -19,7 +19,7 @@
 static void
 print_outcome(const struct cli *cli, const json_t *answer)
 {
-    const char *outcome = text_of(answer, "outcome");
+    const char *outcome = member_text(answer, "outcome");
     const json_t *workers = json_object_get(answer, "workers");
     const json_t *worker;
     size_t i;
@@ -28,27 +28,27 @@
         cli_print_json(answer);
         return;
     }
-    printf("%s: %s", text_of(answer, "id"), outcome);
+    printf("%s: %s", member_text(answer, "id"), outcome);
     if (strcmp(outcome, "pending") != 0) {
-        printf(" (%s)", text_of(answer, "text"));
+        printf(" (%s)", member_text(answer, "text"));
     }
     if (json_array_size(workers) > 0) {
-        printf(" in %s on", text_of(answer, "dc"));
+        printf(" in %s on", member_text(answer, "dc"));
     }
     json_array_foreach(workers, i, worker)
     {
-        printf(" %s", text_of(worker, "worker"));
+        printf(" %s", member_text(worker, "worker"));
     }
     putchar('\n');
-    if (*text_of(answer, "result") != '\0') {
-        printf("%s\n", text_of(answer, "result"));
+    if (*member_text(answer, "result") != '\0') {
+        printf("%s\n", member_text(answer, "result"));
     }
 }
 
 static int
-outcome_status(const json_t *answer)
+outcome_exit_status(const json_t *answer)
 {
-    const char *outcome = text_of(answer, "outcome");
+    const char *outcome = member_text(answer, "outcome");
 
     if (strcmp(outcome, "completed") == 0 || strcmp(outcome, "pending") == 0) {
         return EXIT_OK;
@@ -62,36 +62,39 @@
 static bool
 is_pending(const json_t *answer)
 {
-    return strcmp(text_of(answer, "outcome"), "pending") == 0;
+    return strcmp(member_text(answer, "outcome"), "pending") == 0;
 }
 
-/* Waits in steps; progress is shown on a terminal only. */
+/* Waits for the outcome, with several requests if `wait_ms` is long.  Shows
+ * the progress if standard error is a terminal.  Returns the last HTTP status,
+ * 0 if no answer came. */
 static long
 wait_outcome(struct cli *cli, const char *id, unsigned wait_ms,
              json_t **answer)
 {
     bool show = isatty(STDERR_FILENO);
-    char *escaped = cli_escape(id);
+    char *escaped = cli_url_escape(id);
     unsigned waited = 0;
     long status = 0;
 
     *answer = NULL;
     do {
-        unsigned step = MIN(wait_ms - waited, STEP_MS);
+        unsigned step = MIN(wait_ms - waited, WAIT_STEP_MS);
         char *path = g_strdup_printf("/v1/jobs/%s?wait_ms=%u", escaped, step);
 
         json_decref(*answer);
-        status = cli_http(cli, "GET", path, NULL, answer, NULL);
+        status = cli_http_request(cli, "GET", path, NULL, answer, NULL);
         g_free(path);
         waited += status == 503 ? RETRY_MS : step;
         if (show && is_pending(*answer)) {
             fprintf(stderr, "\r%s: waiting, %u s", id, waited / 1000);
         }
         if (status == 503 && waited < wait_ms) {
-            g_usleep(RETRY_MS * 1000UL); /* this VM cannot tell just now */
+            g_usleep(RETRY_MS *
+                     1000UL); /* this VM doesn't know the state now */
         }
     } while ((status == 202 || status == 503) && waited < wait_ms);
-    if (show && waited > STEP_MS) {
+    if (show && waited > WAIT_STEP_MS) {
         fputc('\n', stderr);
     }
     g_free(escaped);
@@ -99,15 +102,15 @@
 }
 
 static int
-finish(struct cli *cli, long status, json_t *answer)
+report_outcome(struct cli *cli, long status, json_t *answer)
 {
     int result;
 
     if (status == 0 || answer == NULL) {
-        return cli_unreachable(cli);
+        return cli_report_unreachable(cli);
     }
     print_outcome(cli, answer);
-    result = outcome_status(answer);
+    result = outcome_exit_status(answer);
     json_decref(answer);
     return result;
 }
@@ -117,7 +120,7 @@
 {
     char *text = NULL;
     GString *input;
-    char chunk[READ_CHUNK];
+    char chunk[READ_CHUNK_BYTES];
     size_t n;
 
     if (cli->args_count > 0) {
@@ -131,7 +134,8 @@
     return g_string_free(input, FALSE);
 }
 
-/* The request with --home put in, if it was given. */
+/* Reads the request and sets its home data centre if --home was given.  On
+ * failure prints the reason and returns NULL. */
 static json_t *
 load_request(const struct cli *cli)
 {
@@ -170,8 +174,8 @@
         return EXIT_INVALID;
     }
     body = json_dumps(request, JSON_COMPACT);
-    id = g_strdup(text_of(request, "id"));
-    status = cli_http(cli, "POST", "/v1/jobs", body, &answer, NULL);
+    id = g_strdup(member_text(request, "id"));
+    status = cli_http_request(cli, "POST", "/v1/jobs", body, &answer, NULL);
     if (status == 202 && cli->wait_ms > 0) {
         json_decref(answer);
         status = wait_outcome(cli, id, cli->wait_ms, &answer);
@@ -179,7 +183,7 @@
     free(body);
     g_free(id);
     json_decref(request);
-    return finish(cli, status, answer);
+    return report_outcome(cli, status, answer);
 }
 
 int
@@ -188,7 +192,7 @@
     json_t *answer;
     long status = wait_outcome(cli, cli->args[0], cli->wait_ms, &answer);
 
-    return finish(cli, status, answer);
+    return report_outcome(cli, status, answer);
 }
 
 int
@@ -197,19 +201,19 @@
     json_t *answer;
     long status = wait_outcome(cli, cli->args[0], 0, &answer);
 
-    return finish(cli, status, answer);
+    return report_outcome(cli, status, answer);
 }
 
 int
 cli_cancel(struct cli *cli)
 {
-    char *escaped = cli_escape(cli->args[0]);
+    char *escaped = cli_url_escape(cli->args[0]);
     char *path =
         g_strdup_printf("/v1/jobs/%s?wait_ms=%u", escaped, cli->wait_ms);
     json_t *answer = NULL;
-    long status = cli_http(cli, "DELETE", path, NULL, &answer, NULL);
+    long status = cli_http_request(cli, "DELETE", path, NULL, &answer, NULL);
 
     g_free(path);
     g_free(escaped);
-    return finish(cli, status, answer);
+    return report_outcome(cli, status, answer);
 }
--- a/src/cli/cli_keys.c
+++ b/src/cli/cli_keys.c
@@ -1,4 +1,4 @@
-/* Keys and tokens. */
+/* Commands for signing keys and tokens. */
 #include <fcntl.h>
 #include <stdio.h>
 #include <string.h>
@@ -8,9 +8,9 @@
 
 #include "cli/internal/cli_private.h"
 
-enum { TOKEN_MAX = 4096 };
+enum { TOKEN_MAX_BYTES = 4096 };
 
-/* Writes hex to a new file that only its owner can read. */
+/* Writes the bytes in hex to a new file that only its owner can read. */
 static bool
 write_secret(const char *path, const unsigned char *bytes, size_t size)
 {
@@ -39,14 +39,15 @@
     bool ok;
 
     if (cli->out == NULL) {
-        fprintf(stderr, "curlewcart: --out names the file of the key\n");
+        fprintf(stderr, "curlewcart: --out is required: the key's file\n");
         return EXIT_USAGE;
     }
     crypto_sign_keypair(public_key, secret_key);
     ok = write_secret(cli->out, secret_key, sizeof(secret_key));
     sodium_memzero(secret_key, sizeof(secret_key));
     if (!ok) {
-        fprintf(stderr, "curlewcart: %s cannot be made (is it there?)\n",
+        fprintf(stderr,
+                "curlewcart: %s cannot be created (does it exist already?)\n",
                 cli->out);
         return EXIT_INVALID;
     }
@@ -84,7 +85,7 @@
 int
 cli_token_hash(struct cli *cli)
 {
-    char token[TOKEN_MAX];
+    char token[TOKEN_MAX_BYTES];
     unsigned char hash[CW_HASH_BYTES];
     char hex[2 * CW_HASH_BYTES + 1];
 
--- a/src/cli/cli_logs.c
+++ b/src/cli/cli_logs.c
@@ -1,4 +1,4 @@
-/* Commands that read daemons' logs. */
+/* Commands that read the logs of daemons. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,7 +8,7 @@
 
 /* Adds the lines of a file; "-" is standard input. */
 static bool
-read_file(struct cw_story *story, const char *path)
+read_file(struct cw_story *analysis, const char *path)
 {
     FILE *file = strcmp(path, "-") == 0 ? stdin : fopen(path, "r");
     char *line = NULL;
@@ -19,7 +19,7 @@
         return false;
     }
     while (getline(&line, &size, file) > 0) {
-        cw_story_add(story, line);
+        cw_story_add(analysis, line);
     }
     free(line);
     if (file != stdin) {
@@ -29,37 +29,37 @@
 }
 
 static struct cw_story *
-read_files(struct cli *cli, unsigned first)
+read_files(struct cli *cli, unsigned first_file)
 {
-    struct cw_story *story = cw_story_create();
+    struct cw_story *analysis = cw_story_create();
 
-    for (unsigned i = first; i < cli->args_count; i++) {
-        if (!read_file(story, cli->args[i])) {
-            cw_story_free(story);
+    for (unsigned i = first_file; i < cli->args_count; i++) {
+        if (!read_file(analysis, cli->args[i])) {
+            cw_story_free(analysis);
             return NULL;
         }
     }
-    return story;
+    return analysis;
 }
 
 int
 cli_logs_explain(struct cli *cli)
 {
-    struct cw_story *story = read_files(cli, 1);
+    struct cw_story *analysis = read_files(cli, 1);
     GString *out = g_string_new(NULL);
     int status = EXIT_OK;
 
-    if (story == NULL) {
+    if (analysis == NULL) {
         status = EXIT_INVALID;
         goto done;
     }
-    if (cw_story_explain(story, cli->args[0], out) == 0) {
-        fprintf(stderr, "curlewcart: %s is in none of %zu lines\n",
-                cli->args[0], cw_story_lines(story));
+    if (cw_story_explain(analysis, cli->args[0], out) == 0) {
+        fprintf(stderr, "curlewcart: %s occurs in none of %zu lines\n",
+                cli->args[0], cw_story_lines(analysis));
         status = EXIT_REFUSED;
     }
     fputs(out->str, stdout);
-    cw_story_free(story);
+    cw_story_free(analysis);
 
 done:
     g_string_free(out, TRUE);
@@ -69,14 +69,14 @@
 int
 cli_logs_timeline(struct cli *cli)
 {
-    struct cw_story *story = read_files(cli, 0);
+    struct cw_story *analysis = read_files(cli, 0);
     GString *out = g_string_new(NULL);
-    int status = story != NULL ? EXIT_OK : EXIT_INVALID;
+    int status = analysis != NULL ? EXIT_OK : EXIT_INVALID;
 
-    if (story != NULL) {
-        cw_story_timeline(story, out);
+    if (analysis != NULL) {
+        cw_story_timeline(analysis, out);
         fputs(out->str, stdout);
-        cw_story_free(story);
+        cw_story_free(analysis);
     }
     g_string_free(out, TRUE);
     return status;
--- a/src/cli/cli_ops.c
+++ b/src/cli/cli_ops.c
@@ -1,19 +1,21 @@
-/* Commands of operators that only read. */
+/* Commands for operators that change nothing: status, workers, accounts,
+ * audit, counters, explain. */
 #include <stdio.h>
 #include <string.h>
 
 #include "cli/internal/cli_private.h"
 
-/* Gets a route's JSON; on failure reports and sets `*status`. */
+/* Gets the JSON answer for a path.  Sets `*status` to an exit status; on
+ * failure prints the reason or the answer and returns NULL. */
 static json_t *
-get(struct cli *cli, const char *path, int *status)
+get_json(struct cli *cli, const char *path, int *status)
 {
     json_t *answer = NULL;
-    long code = cli_http(cli, "GET", path, NULL, &answer, NULL);
+    long code = cli_http_request(cli, "GET", path, NULL, &answer, NULL);
 
     *status = EXIT_OK;
     if (code == 0 || answer == NULL) {
-        *status = cli_unreachable(cli);
+        *status = cli_report_unreachable(cli);
     }
     else if (code != 200) {
         cli_print_json(answer);
@@ -26,7 +28,7 @@
     return answer;
 }
 
-/* Prints a list of objects as a table of the named columns. */
+/* Prints a list of objects as a table; the columns are members' names. */
 static void
 print_table(const json_t *rows, const char *const *columns)
 {
@@ -54,11 +56,11 @@
 }
 
 static int
-show_list(struct cli *cli, const char *path, const char *name,
-          const char *const *columns)
+print_list(struct cli *cli, const char *path, const char *name,
+           const char *const *columns)
 {
     int status;
-    json_t *answer = get(cli, path, &status);
+    json_t *answer = get_json(cli, path, &status);
 
     if (answer == NULL) {
         return status;
@@ -77,7 +79,7 @@
 cli_status(struct cli *cli)
 {
     int status;
-    json_t *answer = get(cli, "/v1/status", &status);
+    json_t *answer = get_json(cli, "/v1/status", &status);
     const char *name;
     json_t *value;
 
@@ -106,7 +108,7 @@
     static const char *const columns[] = {"worker", "dc",   "rack",
                                           "state",  "free", NULL};
 
-    return show_list(cli, "/v1/workers", "workers", columns);
+    return print_list(cli, "/v1/workers", "workers", columns);
 }
 
 int
@@ -114,7 +116,7 @@
 {
     static const char *const columns[] = {"account", "weight", "dcs", NULL};
 
-    return show_list(cli, "/v1/accounts", "accounts", columns);
+    return print_list(cli, "/v1/accounts", "accounts", columns);
 }
 
 int
@@ -125,7 +127,7 @@
     char *path = cli->account != NULL
                      ? g_strdup_printf("/v1/audit?account=%s", cli->account)
                      : g_strdup("/v1/audit");
-    int status = show_list(cli, path, "rows", columns);
+    int status = print_list(cli, path, "rows", columns);
 
     g_free(path);
     return status;
@@ -135,11 +137,11 @@
 cli_counters(struct cli *cli)
 {
     GString *text = g_string_new(NULL);
-    long code = cli_http(cli, "GET", "/metrics", NULL, NULL, text);
+    long code = cli_http_request(cli, "GET", "/metrics", NULL, NULL, text);
     int status = EXIT_OK;
 
     if (code == 0) {
-        status = cli_unreachable(cli);
+        status = cli_report_unreachable(cli);
     }
     else {
         fputs(text->str, stdout);
@@ -155,10 +157,10 @@
     char *key = cli->account != NULL
                     ? g_strdup_printf("%s/%s", cli->account, cli->args[0])
                     : g_strdup(cli->args[0]);
-    char *escaped = cli_escape(key);
+    char *escaped = cli_url_escape(key);
     char *path = g_strdup_printf("/v1/explain?key=%s", escaped);
     int status;
-    json_t *answer = get(cli, path, &status);
+    json_t *answer = get_json(cli, path, &status);
 
     if (answer != NULL) {
         const char *text = json_string_value(json_object_get(answer, "text"));
--- a/src/cli/cli_serve.c
+++ b/src/cli/cli_serve.c
@@ -1,13 +1,14 @@
-/* Commands that concern the daemon on this VM. */
+/* Commands for the daemon on this VM, and shell completion. */
 #include <stdio.h>
 #include <stdlib.h>
 
 #include "cli/internal/cli_private.h"
 #include "curlewcart/cw_vm.h"
 
-/* Loads settings and the files they name; on failure says why. */
+/* Loads the settings and the secrets in the files that they name.  On failure
+ * prints the problems and returns NULL. */
 static struct cw_settings *
-load(const char *path, struct cw_settings_secrets **secrets)
+load_settings(const char *path, struct cw_settings_secrets **secrets)
 {
     GString *problems = g_string_new(NULL);
     struct cw_settings *settings = cw_settings_load(path, problems);
@@ -36,11 +37,11 @@
         path = getenv("CURLEWCART_CONFIG");
     }
     if (path == NULL) {
-        fprintf(stderr, "curlewcart: --settings or CURLEWCART_CONFIG names "
-                        "the settings file\n");
+        fprintf(stderr, "curlewcart: --settings or CURLEWCART_CONFIG is "
+                        "required: the settings file\n");
         return EXIT_USAGE;
     }
-    settings = load(path, &secrets);
+    settings = load_settings(path, &secrets);
     if (settings == NULL) {
         return EXIT_NOT_STARTED;
     }
@@ -51,7 +52,7 @@
 cli_settings_check(struct cli *cli)
 {
     struct cw_settings_secrets *secrets;
-    struct cw_settings *settings = load(cli->args[0], &secrets);
+    struct cw_settings *settings = load_settings(cli->args[0], &secrets);
 
     if (settings == NULL) {
         return EXIT_INVALID;
--- a/src/cli/internal/cli_private.h
+++ b/src/cli/internal/cli_private.h
@@ -1,4 +1,4 @@
-/* Parts of the command line. */
+/* The command line's commands and what they share. */
 #ifndef CLI_INTERNAL_CLI_PRIVATE_H
 #define CLI_INTERNAL_CLI_PRIVATE_H
 
@@ -20,9 +20,9 @@
     EXIT_INVALID = 7
 };
 
-enum { CLI_ARGS_MOST = 64 };
+enum { CLI_ARGS_MAX = 64 };
 
-/* What was given on the command line. */
+/* The command, options and arguments given on the command line. */
 struct cli {
     const struct cli_command *command;
     const char *server;
@@ -36,36 +36,40 @@
     unsigned wait_ms;
     bool json;
     bool wait;
-    const char *args[CLI_ARGS_MOST];
+    const char *args[CLI_ARGS_MAX];
     unsigned args_count;
 };
 
-/* A command: "bundle check" has two words. */
+/* A command.  Its name may have several words, such as "bundle check". */
 struct cli_command {
     const char *name;
-    const char *args; /* of the usage line */
-    const char *text;
-    unsigned least_args;
-    unsigned most_args;
-    int (*run)(struct cli *cli);
+    const char *args; /* as in the usage line */
+    const char *summary;
+    unsigned min_args;
+    unsigned max_args;
+    int (*run)(struct cli *cli); /* returns an exit status */
 };
 
-/* cli_http.c: a request to the daemon.  Returns the HTTP status, 0 if no
- * answer came; *out is the answer as JSON (owned by the caller) or NULL,
- * or, with `raw`, the text is put there. */
-long cli_http(const struct cli *cli, const char *method, const char *path,
-              const char *body, json_t **out, GString *raw);
+/* cli_http.c: sends a request to the daemon.  Returns the HTTP status, 0 if no
+ * answer came.  Sets *out, unless `out` is NULL, to the answer as JSON (owned
+ * by the caller) or NULL; appends the answer's text to `raw`, unless that is
+ * NULL. */
+long
+cli_http_request(const struct cli *cli, const char *method, const char *path,
+                 const char *body, json_t **out, GString *raw);
 
-/* Reports that no answer came; returns EXIT_UNREACHABLE. */
-int cli_unreachable(const struct cli *cli);
+/* Prints to standard error that no answer came; returns EXIT_UNREACHABLE. */
+int cli_report_unreachable(const struct cli *cli);
 
 /* Prints JSON to standard output. */
 void cli_print_json(const json_t *value);
 
 /* Escapes a path segment or query value; free with g_free. */
-char *cli_escape(const char *text);
+char *cli_url_escape(const char *text);
 
-/* cli_jobs.c */
+/* The commands, file by file.  Each returns an exit status.
+ *
+ * cli_jobs.c */
 int cli_submit(struct cli *cli);
 int cli_wait(struct cli *cli);
 int cli_cancel(struct cli *cli);
@@ -92,6 +96,10 @@
 /* cli_keys.c */
 int cli_key_new(struct cli *cli);
 int cli_token_hash(struct cli *cli);
+
+/* Reads a secret key of `size` bytes from a file in hex that only its owner
+ * may access.  On failure prints the reason to standard error and returns
+ * false. */
 bool cli_read_secret_key(const char *path, unsigned char *key, size_t size);
 
 /* cli_serve.c */
@@ -103,7 +111,7 @@
 int cli_logs_explain(struct cli *cli);
 int cli_logs_timeline(struct cli *cli);
 
-/* cli.c: all commands, ended by a NULL name. */
+/* cli.c: all commands; the last entry has a NULL name. */
 extern const struct cli_command cli_commands[];
 
 #endif
--- a/tests/test_bundle.c
+++ b/tests/test_bundle.c
@@ -1,11 +1,12 @@
-/* Bundles: schema, checks, homes, plans of guarantees. */
+/* Configuration bundles: schema, checks, jobs that can never run, routing
+ * data, plans of guarantees, tokens and differences. */
 #include "test_main.h"
 
 #include <string.h>
 
 #include "curlewcart/cw_bundle.h"
 
-#define HEAD                                                                  \
+#define DCS_AND_WORKERS                                                       \
     "dcs:\n  - {name: d0}\n  - {name: d1}\n"                                  \
     "workers:\n"                                                              \
     "  - {name: w0, dc: d0, rack: r0, address: x, accelerators: 8, cores: "   \
@@ -14,12 +15,12 @@
     "30, memory_mb: 1000, slots: 4, connections: 9}\n"                        \
     "  - {name: w2, dc: d1, rack: r1, address: x, accelerators: 8, cores: "   \
     "30, memory_mb: 1000, slots: 4, connections: 9}\n"
-#define HASH                                                                  \
+#define ZERO_HASH                                                             \
     "\"0000000000000000000000000000000000000000000000000000000000000000\""
 #define ACCOUNT(name, dcs, guarantees)                                        \
-    "  - {name: " name ", token_hash: " HASH ", dcs: [" dcs                   \
+    "  - {name: " name ", token_hash: " ZERO_HASH ", dcs: [" dcs              \
     "], guarantees: [" guarantees "]}\n"
-#define TAIL "operators:\n  - {name: op, public_key: " HASH "}\n"
+#define OPERATORS "operators:\n  - {name: op, public_key: " ZERO_HASH "}\n"
 
 static struct cw_bundle *
 parse(const char *text, GString *problems)
@@ -28,12 +29,13 @@
 }
 
 static void
-test_takes_a_good_bundle(void)
+test_accepts_a_valid_bundle(void)
 {
     GString *problems = g_string_new(NULL);
     struct cw_bundle *bundle =
-        parse(HEAD "accounts:\n" ACCOUNT("a", "d0, d1",
-                                         "{dc: d0, accelerators: 8}") TAIL,
+        parse(DCS_AND_WORKERS
+              "accounts:\n" ACCOUNT("a", "d0, d1", "{dc: d0, accelerators: 8}")
+                  OPERATORS,
               problems);
 
     CU_ASSERT_PTR_NOT_NULL_FATAL(bundle);
@@ -45,57 +47,66 @@
 }
 
 static void
-refuses(const char *text, const char *part)
+expect_rejected(const char *text, const char *expected)
 {
     GString *problems = g_string_new(NULL);
     struct cw_bundle *bundle = parse(text, problems);
 
     CU_ASSERT_PTR_NULL(bundle);
-    CU_ASSERT_PTR_NOT_NULL(strstr(problems->str, part));
-    if (strstr(problems->str, part) == NULL) {
-        printf("expected \"%s\" in: %s\n", part, problems->str);
+    CU_ASSERT_PTR_NOT_NULL(strstr(problems->str, expected));
+    if (strstr(problems->str, expected) == NULL) {
+        printf("expected \"%s\" in: %s\n", expected, problems->str);
     }
     cw_bundle_unref(bundle);
     g_string_free(problems, TRUE);
 }
 
 static void
-test_refuses_and_says_where(void)
+test_rejection_names_the_field(void)
 {
-    refuses("", "empty");
-    refuses("# only a comment\n", "empty");
-    refuses(HEAD "accounts: []\ncolour: red\n" TAIL, "colour");
-    refuses(HEAD "accounts:\n" ACCOUNT("a", "", "") TAIL,
-            "no data centre permitted");
-    refuses(HEAD "accounts:\n" ACCOUNT("a", "d9", "") TAIL, "\"d9\"");
-    refuses(HEAD "accounts:\n" ACCOUNT("a", "d0", "{dc: d1, accelerators: 1}")
-                TAIL,
-            "not among its dcs");
-    refuses(HEAD "accounts:\n" ACCOUNT("a", "d0", "") ACCOUNT("a", "d0", "")
-                TAIL,
-            "twice");
-    refuses("policy: {signatures: 2}\n" HEAD "accounts: []\n" TAIL,
-            "only 1 operators");
+    expect_rejected("", "empty");
+    expect_rejected("# only a comment\n", "empty");
+    expect_rejected(DCS_AND_WORKERS "accounts: []\ncolour: red\n" OPERATORS,
+                    "colour");
+    expect_rejected(DCS_AND_WORKERS "accounts:\n" ACCOUNT("a", "", "")
+                        OPERATORS,
+                    "no data centre permitted");
+    expect_rejected(DCS_AND_WORKERS "accounts:\n" ACCOUNT("a", "d9", "")
+                        OPERATORS,
+                    "\"d9\"");
+    expect_rejected(DCS_AND_WORKERS "accounts:\n" ACCOUNT(
+                        "a", "d0", "{dc: d1, accelerators: 1}") OPERATORS,
+                    "not among its dcs");
+    expect_rejected(DCS_AND_WORKERS "accounts:\n" ACCOUNT("a", "d0", "")
+                        ACCOUNT("a", "d0", "") OPERATORS,
+                    "twice");
+    expect_rejected("policy: {signatures: 2}\n" DCS_AND_WORKERS
+                    "accounts: []\n" OPERATORS,
+                    "only 1 operators");
 }
 
 static void
-test_refuses_guarantees_that_do_not_fit_together(void)
+test_rejects_guarantees_that_exceed_capacity(void)
 {
-    refuses(HEAD "accounts:\n" ACCOUNT("a", "d0", "{dc: d0, accelerators: 9}")
-                ACCOUNT("b", "d0", "{dc: d0, accelerators: 8}") TAIL,
-            "cannot be held");
-    refuses("policy: {spare_workers: 1}\n" HEAD
-            "accounts:\n" ACCOUNT("a", "d0", "{dc: d0, accelerators: 9}") TAIL,
-            "cannot be held");
-    refuses(HEAD "accounts:\n" ACCOUNT(
-                "a", "d0", "{dc: d0, accelerators: 17, rack_block: 17}") TAIL,
-            "cannot be held");
+    expect_rejected(
+        DCS_AND_WORKERS
+        "accounts:\n" ACCOUNT("a", "d0", "{dc: d0, accelerators: 9}")
+            ACCOUNT("b", "d0", "{dc: d0, accelerators: 8}") OPERATORS,
+        "cannot be held");
+    expect_rejected("policy: {spare_workers: 1}\n" DCS_AND_WORKERS
+                    "accounts:\n" ACCOUNT(
+                        "a", "d0", "{dc: d0, accelerators: 9}") OPERATORS,
+                    "cannot be held");
+    expect_rejected(
+        DCS_AND_WORKERS "accounts:\n" ACCOUNT(
+            "a", "d0", "{dc: d0, accelerators: 17, rack_block: 17}") OPERATORS,
+        "cannot be held");
 }
 
-/* A job of one gang; `dc` narrows it, NULL does not. */
+/* Checks a job of one gang, restricted to `dc` unless that is NULL. */
 static enum cw_result
-fits(const struct cw_bundle *bundle, unsigned tasks, unsigned accelerators,
-     bool same_rack, const char *dc)
+check_gang(const struct cw_bundle *bundle, unsigned tasks,
+           unsigned accelerators, bool same_rack, const char *dc)
 {
     struct cw_step_spec step = {.tasks = tasks,
                                 .accelerators = accelerators,
@@ -113,28 +124,28 @@
 }
 
 static void
-test_what_never_fits_is_named(void)
+test_refusal_names_what_never_fits(void)
 {
-    struct cw_bundle *bundle =
-        parse(HEAD "accounts:\n" ACCOUNT("a", "d0", "") TAIL, NULL);
-
-    CU_ASSERT_EQUAL(fits(bundle, 1, 1, false, NULL), CW_OK);
-    CU_ASSERT_EQUAL(fits(bundle, 1, 1, false, "d0"), CW_OK);
-    CU_ASSERT_EQUAL(fits(bundle, 17, 1, false, NULL), CW_REF_GANG);
-    CU_ASSERT_EQUAL(fits(bundle, 17, 1, true, NULL), CW_REF_RACK);
-    CU_ASSERT_EQUAL(fits(bundle, 1, 9, false, NULL), CW_REF_WORKER);
-    CU_ASSERT_EQUAL(fits(bundle, 1, 1, false, "d1"), CW_REF_NO_DC);
+    struct cw_bundle *bundle = parse(
+        DCS_AND_WORKERS "accounts:\n" ACCOUNT("a", "d0", "") OPERATORS, NULL);
+
+    CU_ASSERT_EQUAL(check_gang(bundle, 1, 1, false, NULL), CW_OK);
+    CU_ASSERT_EQUAL(check_gang(bundle, 1, 1, false, "d0"), CW_OK);
+    CU_ASSERT_EQUAL(check_gang(bundle, 17, 1, false, NULL), CW_REF_GANG);
+    CU_ASSERT_EQUAL(check_gang(bundle, 17, 1, true, NULL), CW_REF_RACK);
+    CU_ASSERT_EQUAL(check_gang(bundle, 1, 9, false, NULL), CW_REF_WORKER);
+    CU_ASSERT_EQUAL(check_gang(bundle, 1, 1, false, "d1"), CW_REF_NO_DC);
     cw_bundle_unref(bundle);
 }
 
 static void
-test_the_scheduler_hears_of_places_and_guarantees(void)
+test_routing_has_dcs_and_guarantees(void)
 {
-    struct cw_bundle *bundle =
-        parse(HEAD "accounts:\n" ACCOUNT(
-                  "a", "d0, d1",
-                  "{dc: d0, accelerators: 4}, {dc: d1, accelerators: 3}") TAIL,
-              NULL);
+    struct cw_bundle *bundle = parse(
+        DCS_AND_WORKERS "accounts:\n" ACCOUNT(
+            "a", "d0, d1",
+            "{dc: d0, accelerators: 4}, {dc: d1, accelerators: 3}") OPERATORS,
+        NULL);
     struct cw_routing *routing = cw_bundle_routing(bundle, "s");
     const struct cw_account *account =
         cw_routing_account_by_name(routing, "a");
@@ -164,13 +175,15 @@
 }
 
 static void
-test_diff_says_what_changes(void)
+test_diff_lists_changes(void)
 {
-    struct cw_bundle *before =
-        parse(HEAD "accounts:\n" ACCOUNT("a", "d0, d1", "") TAIL, NULL);
+    struct cw_bundle *before = parse(
+        DCS_AND_WORKERS "accounts:\n" ACCOUNT("a", "d0, d1", "") OPERATORS,
+        NULL);
     struct cw_bundle *after =
-        parse(HEAD "accounts:\n" ACCOUNT("a", "d0",
-                                         "{dc: d0, accelerators: 4}") TAIL,
+        parse(DCS_AND_WORKERS
+              "accounts:\n" ACCOUNT("a", "d0", "{dc: d0, accelerators: 4}")
+                  OPERATORS,
               NULL);
     GString *text = g_string_new(NULL);
 
@@ -183,15 +196,15 @@
 }
 
 static const struct test tests[] = {
-    {"takes a good bundle", test_takes_a_good_bundle},
-    {"refuses and says where", test_refuses_and_says_where},
-    {"guarantees must fit together",
-     test_refuses_guarantees_that_do_not_fit_together},
-    {"the scheduler hears of places and guarantees",
-     test_the_scheduler_hears_of_places_and_guarantees},
-    {"what never fits is named", test_what_never_fits_is_named},
+    {"accepts a valid bundle", test_accepts_a_valid_bundle},
+    {"rejection names the field", test_rejection_names_the_field},
+    {"rejects guarantees that exceed capacity",
+     test_rejects_guarantees_that_exceed_capacity},
+    {"routing has data centres and guarantees",
+     test_routing_has_dcs_and_guarantees},
+    {"refusal names what never fits", test_refusal_names_what_never_fits},
     {"token is checked", test_token_is_checked},
-    {"diff says what changes", test_diff_says_what_changes},
+    {"diff lists changes", test_diff_lists_changes},
 };
 
 TEST_MAIN("bundle", tests)
--- a/tests/test_chain.c
+++ b/tests/test_chain.c
@@ -1,4 +1,5 @@
-/* The chain of bundles: signatures, races, seals, and never back. */
+/* The chain of bundles: signatures, concurrent changes, seals, and that an
+ * old record never replaces a newer version. */
 #include "test_main.h"
 
 #include <string.h>
@@ -79,7 +80,7 @@
 }
 
 static void
-test_signed_changes_are_accepted_in_turn(void)
+test_signed_changes_are_accepted_in_order(void)
 {
     struct fixture f;
 
@@ -91,7 +92,7 @@
 }
 
 static void
-test_unsigned_and_forged_are_not(void)
+test_unsigned_and_forged_are_rejected(void)
 {
     struct fixture f;
     struct cw_bundle_rec record;
@@ -100,18 +101,18 @@
     record = propose(&f, 1, 1);
     CU_ASSERT_EQUAL(apply_and_free(&f, &record), CW_DROP_BUNDLE);
     record = propose(&f, 1, 1);
-    cw_chain_sign(&record, "op", f.secret[1]); /* another's key */
+    cw_chain_sign(&record, "op", f.secret[1]); /* another operator's key */
     CU_ASSERT_EQUAL(apply_and_free(&f, &record), CW_DROP_BUNDLE);
     record = propose(&f, 1, 1);
     cw_chain_sign(&record, "op", f.secret[0]);
-    record.number = 2; /* not what was signed */
+    record.number = 2; /* differs from the signed number */
     CU_ASSERT_EQUAL(apply_and_free(&f, &record), CW_DROP_BUNDLE);
     CU_ASSERT_EQUAL(cw_chain_number(f.chain), 0);
     cw_chain_free(f.chain);
 }
 
 static void
-test_first_of_two_wins(void)
+test_first_of_two_concurrent_changes_wins(void)
 {
     struct fixture f;
     struct cw_bundle_rec one;
@@ -130,7 +131,7 @@
 }
 
 static void
-test_a_replay_changes_nothing(void)
+test_a_replayed_record_changes_nothing(void)
 {
     struct fixture f;
     struct cw_bundle_rec record;
@@ -147,7 +148,7 @@
 }
 
 static void
-test_two_signatures_where_two_are_needed(void)
+test_two_signatures_if_two_are_required(void)
 {
     struct fixture f;
     struct cw_bundle_rec record;
@@ -156,7 +157,7 @@
     accept_change(&f, 1, 2);
     record = propose(&f, 2, 2);
     cw_chain_sign(&record, "op", f.secret[0]);
-    cw_chain_sign(&record, "op", f.secret[0]); /* twice is once */
+    cw_chain_sign(&record, "op", f.secret[0]); /* counts once */
     CU_ASSERT_EQUAL(apply_and_free(&f, &record), CW_DROP_BUNDLE);
     record = propose(&f, 2, 2);
     cw_chain_sign(&record, "op", f.secret[0]);
@@ -166,30 +167,31 @@
 }
 
 static void
-test_a_newborn_takes_a_sealed_copy_only(void)
+test_an_empty_chain_accepts_only_a_valid_seal(void)
 {
     struct fixture f;
     struct cw_bundle_rec record;
-    struct cw_chain *newborn;
+    struct cw_chain *empty_chain;
 
     setup(&f);
     accept_change(&f, 1, 1);
     accept_change(&f, 2, 1);
     CU_ASSERT_TRUE(cw_chain_export(f.chain, &record));
-    newborn = new_chain(&f);
-    CU_ASSERT_EQUAL(cw_chain_apply(newborn, &record, NULL), CW_OK);
-    CU_ASSERT_EQUAL(cw_chain_number(newborn), 2);
-    cw_chain_free(newborn);
-    newborn = new_chain(&f);
+    empty_chain = new_chain(&f);
+    CU_ASSERT_EQUAL(cw_chain_apply(empty_chain, &record, NULL), CW_OK);
+    CU_ASSERT_EQUAL(cw_chain_number(empty_chain), 2);
+    cw_chain_free(empty_chain);
+    empty_chain = new_chain(&f);
     record.seal[0] ^= 1;
-    CU_ASSERT_EQUAL(cw_chain_apply(newborn, &record, NULL), CW_DROP_BUNDLE);
-    cw_chain_free(newborn);
+    CU_ASSERT_EQUAL(cw_chain_apply(empty_chain, &record, NULL),
+                    CW_DROP_BUNDLE);
+    cw_chain_free(empty_chain);
     xdr_free((xdrproc_t)xdr_cw_bundle_rec, &record);
     cw_chain_free(f.chain);
 }
 
 static void
-test_damaged_content_is_refused(void)
+test_damaged_content_is_rejected(void)
 {
     struct fixture f;
     struct cw_bundle_rec record;
@@ -203,13 +205,16 @@
 }
 
 static const struct test tests[] = {
-    {"signed changes in turn", test_signed_changes_are_accepted_in_turn},
-    {"unsigned and forged", test_unsigned_and_forged_are_not},
-    {"first of two wins", test_first_of_two_wins},
-    {"a replay changes nothing", test_a_replay_changes_nothing},
-    {"two signatures", test_two_signatures_where_two_are_needed},
-    {"a newborn takes a sealed copy", test_a_newborn_takes_a_sealed_copy_only},
-    {"damaged content", test_damaged_content_is_refused},
+    {"signed changes in order", test_signed_changes_are_accepted_in_order},
+    {"unsigned and forged", test_unsigned_and_forged_are_rejected},
+    {"first of two concurrent changes wins",
+     test_first_of_two_concurrent_changes_wins},
+    {"a replayed record changes nothing",
+     test_a_replayed_record_changes_nothing},
+    {"two signatures", test_two_signatures_if_two_are_required},
+    {"an empty chain accepts a sealed copy",
+     test_an_empty_chain_accepts_only_a_valid_seal},
+    {"damaged content", test_damaged_content_is_rejected},
 };
 
 TEST_MAIN("chain", tests)
--- a/tools/bench/bench.h
+++ b/tools/bench/bench.h
@@ -1,32 +1,36 @@
-/* The bench's modes and what is given on its command line. */
+/* The modes and the command line options of curlewcart-bench. */
 #ifndef BENCH_BENCH_H
 #define BENCH_BENCH_H
 
 #include <stdint.h>
 #include <glib.h>
 
+/* What the command line gives. */
 struct bench_options {
     const char *mode;
     uint32_t seed;
     unsigned workers;
-    unsigned waiting;
-    const char *url; /* of a daemon, for load */
+    unsigned waiting; /* tasks */
+    const char *url;  /* of a daemon, for mode load */
     const char *account;
     const char *token;
     unsigned callers;
     unsigned requests;
 };
 
-/* Cost of a pass of placement with many waiting tasks. */
+/* Mode place: measures a placement pass with many waiting tasks.  Prints the
+ * result; returns an exit status. */
 int bench_place(const struct bench_options *options);
 
-/* Many callers at once on one daemon: each must get its own answer. */
+/* Mode load: many concurrent callers of one daemon, each of which must get its
+ * own answer.  Prints the result; returns an exit status. */
 int bench_load(const struct bench_options *options);
 
-/* Value at a share (0 to 1) of the sorted values; sorts them. */
-double bench_percentile(GArray *values, double share);
+/* Quantile of the values, `fraction` from 0 to 1; 0 if there are none.  Sorts
+ * the values. */
+double bench_percentile(GArray *values, double fraction);
 
-/* Microseconds of the monotonic clock. */
+/* Time of the monotonic clock in microseconds. */
 double bench_now_us(void);
 
 #endif
--- a/tools/bench/bench_load.c
+++ b/tools/bench/bench_load.c
@@ -1,4 +1,4 @@
-/* Many callers at once; each answer must be the caller's own, and whole. */
+/* Many concurrent callers; each must get a whole answer to its own request. */
 #include <pthread.h>
 #include <stdbool.h>
 #include <stdio.h>
@@ -9,22 +9,27 @@
 
 #include "bench.h"
 
-enum { WAIT_MS = 30000, THREADS_MOST = 1024 };
+enum {
+    JOB_WAIT_MS = 30000,
+    TIMEOUT_MARGIN_MS = 5000,
+    THREADS_MAX = 1024,
+    STACK_BYTES = 256 * 1024
+};
 
 struct load {
     const struct bench_options *options;
-    pthread_mutex_t lock; /* guards what follows */
-    unsigned next;
+    pthread_mutex_t lock; /* guards the members below */
+    unsigned next;        /* index of the next request */
     unsigned completed;
-    unsigned other;
-    unsigned crossed;
-    unsigned errors; /* no whole answer, though a connection was made */
-    unsigned unsent; /* nobody listened */
-    GArray *latency; /* double, ms */
+    unsigned other;     /* a whole answer with another outcome */
+    unsigned crossed;   /* the answer to another request */
+    unsigned errors;    /* no whole answer, though connected */
+    unsigned unsent;    /* no connection */
+    GArray *latency_ms; /* double, of completed requests */
 };
 
 static size_t
-on_body(char *data, size_t size, size_t n, void *context)
+append_body(char *data, size_t size, size_t n, void *context)
 {
     g_string_append_len(context, data, (gssize)(size * n));
     return size * n;
@@ -43,39 +48,42 @@
     return more;
 }
 
-/* The answer must name this request and carry its own echo. */
+/* Counts the answer by its kind.  It must name this request's id and, if the
+ * job is completed, contain this request's echo. */
 static void
-judge(struct load *load, const char *text, unsigned index, double ms)
+count_answer(struct load *load, const char *text, unsigned index, double ms)
 {
     json_t *answer = json_loads(text, 0, NULL);
     const char *id = json_string_value(json_object_get(answer, "id"));
     const char *outcome =
         json_string_value(json_object_get(answer, "outcome"));
     const char *result = json_string_value(json_object_get(answer, "result"));
-    char *want_id = g_strdup_printf("load-%u-%u", load->options->seed, index);
+    char *expected_id =
+        g_strdup_printf("load-%u-%u", load->options->seed, index);
     const char *job = json_string_value(json_object_get(answer, "job"));
-    char *want = g_strdup_printf("%s:%u", job != NULL ? job : "", index);
+    char *expected_result =
+        g_strdup_printf("%s:%u", job != NULL ? job : "", index);
 
     pthread_mutex_lock(&load->lock);
     if (answer == NULL || id == NULL || outcome == NULL) {
         load->errors++;
     }
-    else if (strcmp(id, want_id) != 0 ||
+    else if (strcmp(id, expected_id) != 0 ||
              (strcmp(outcome, "completed") == 0 &&
-              (result == NULL || strcmp(result, want) != 0)))
+              (result == NULL || strcmp(result, expected_result) != 0)))
     {
         load->crossed++;
     }
     else if (strcmp(outcome, "completed") == 0) {
         load->completed++;
-        g_array_append_val(load->latency, ms);
+        g_array_append_val(load->latency_ms, ms);
     }
     else {
         load->other++;
     }
     pthread_mutex_unlock(&load->lock);
-    g_free(want_id);
-    g_free(want);
+    g_free(expected_id);
+    g_free(expected_result);
     json_decref(answer);
 }
 
@@ -87,7 +95,7 @@
         "\"declared_ms\":10,\"payload\":\"run_ms=1 echo=%u\"}",
         load->options->seed, index, index);
     GString *answer = g_string_new(NULL);
-    double began = bench_now_us();
+    double started_us = bench_now_us();
 
     curl_easy_setopt(easy, CURLOPT_POSTFIELDS, body);
     curl_easy_setopt(easy, CURLOPT_WRITEDATA, answer);
@@ -97,7 +105,8 @@
         pthread_mutex_unlock(&load->lock);
     }
     else {
-        judge(load, answer->str, index, (bench_now_us() - began) / 1000);
+        count_answer(load, answer->str, index,
+                     (bench_now_us() - started_us) / 1000);
     }
     g_string_free(answer, TRUE);
     g_free(body);
@@ -110,8 +119,8 @@
     CURL *easy = curl_easy_init();
     struct curl_slist *headers = NULL;
     char *line;
-    char *url =
-        g_strdup_printf("%s/v1/jobs?wait_ms=%d", load->options->url, WAIT_MS);
+    char *url = g_strdup_printf("%s/v1/jobs?wait_ms=%d", load->options->url,
+                                JOB_WAIT_MS);
     unsigned index;
 
     line = g_strdup_printf("X-Curlewcart-Account: %s", load->options->account);
@@ -123,9 +132,10 @@
     headers = curl_slist_append(headers, "Expect:");
     curl_easy_setopt(easy, CURLOPT_URL, url);
     curl_easy_setopt(easy, CURLOPT_HTTPHEADER, headers);
-    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, on_body);
+    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append_body);
     curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
-    curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, (long)WAIT_MS + 5000);
+    curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS,
+                     (long)JOB_WAIT_MS + TIMEOUT_MARGIN_MS);
     while (take_index(load, &index)) {
         send_one(load, easy, index);
     }
@@ -139,17 +149,17 @@
 bench_load(const struct bench_options *options)
 {
     struct load load = {.options = options};
-    unsigned callers = CLAMP(options->callers, 1, THREADS_MOST);
+    unsigned callers = CLAMP(options->callers, 1, THREADS_MAX);
     pthread_t *threads = g_new(pthread_t, callers);
     pthread_attr_t attributes;
-    double began = bench_now_us();
+    double started_us = bench_now_us();
     double seconds;
 
     curl_global_init(CURL_GLOBAL_DEFAULT);
     pthread_mutex_init(&load.lock, NULL);
     pthread_attr_init(&attributes);
-    pthread_attr_setstacksize(&attributes, 256 * 1024);
-    load.latency = g_array_new(FALSE, FALSE, sizeof(double));
+    pthread_attr_setstacksize(&attributes, STACK_BYTES);
+    load.latency_ms = g_array_new(FALSE, FALSE, sizeof(double));
     for (unsigned i = 0; i < callers; i++) {
         if (pthread_create(&threads[i], &attributes, caller_main, &load) != 0)
         {
@@ -159,15 +169,15 @@
     for (unsigned i = 0; i < callers; i++) {
         pthread_join(threads[i], NULL);
     }
-    seconds = (bench_now_us() - began) / 1e6;
+    seconds = (bench_now_us() - started_us) / 1e6;
     printf("bench=load callers=%u requests=%u completed=%u other=%u "
            "errors=%u unsent=%u crossed=%u per_second=%.0f p50_ms=%.1f "
            "p99_ms=%.1f\n",
            callers, options->requests, load.completed, load.other, load.errors,
            load.unsent, load.crossed, options->requests / seconds,
-           bench_percentile(load.latency, 0.5),
-           bench_percentile(load.latency, 0.99));
-    g_array_unref(load.latency);
+           bench_percentile(load.latency_ms, 0.5),
+           bench_percentile(load.latency_ms, 0.99));
+    g_array_unref(load.latency_ms);
     pthread_mutex_destroy(&load.lock);
     g_free(threads);
     return load.crossed == 0 && load.errors == 0 ? 0 : 2;
--- a/tools/bench/bench_main.c
+++ b/tools/bench/bench_main.c
@@ -1,4 +1,4 @@
-/* curlewcart-bench: measurements.  Each mode prints key=value lines.
+/* curlewcart-bench: measurements.  Each mode prints a line of key=value pairs.
  *
  *   place    [--workers N] [--waiting N]
  *   load     --url URL --account A --token T --callers N --requests N */
@@ -18,14 +18,15 @@
     {"waiting", 'q', "N", 0, "Waiting tasks", 0},
     {"url", 'u', "URL", 0, "Daemon", 0},
     {"account", 'A', "NAME", 0, "Client account", 0},
-    {"token", 'T', "TEXT", 0, "Its token (a test's, not a real one)", 0},
-    {"callers", 'c', "N", 0, "Callers at once", 0},
-    {"requests", 'n', "N", 0, "Requests in all", 0},
+    {"token", 'T', "TEXT", 0, "Token of the account (only of a test account)",
+     0},
+    {"callers", 'c', "N", 0, "Concurrent callers", 0},
+    {"requests", 'n', "N", 0, "Total number of requests", 0},
     {0},
 };
 
 static error_t
-parse(int key, char *value, struct argp_state *state)
+parse_option(int key, char *value, struct argp_state *state)
 {
     struct bench_options *o = state->input;
 
@@ -73,7 +74,7 @@
 }
 
 static int
-by_value(const void *a, const void *b)
+compare_doubles(const void *a, const void *b)
 {
     double x = *(const double *)a;
     double y = *(const double *)b;
@@ -82,15 +83,15 @@
 }
 
 double
-bench_percentile(GArray *values, double share)
+bench_percentile(GArray *values, double fraction)
 {
     guint index;
 
     if (values->len == 0) {
         return 0;
     }
-    g_array_sort(values, by_value);
-    index = (guint)(share * (values->len - 1) + 0.5);
+    g_array_sort(values, compare_doubles);
+    index = (guint)(fraction * (values->len - 1) + 0.5);
     return g_array_index(values, double, index);
 }
 
@@ -108,8 +109,9 @@
 main(int argc, char **argv)
 {
     struct bench_options o = {.mode = "", .seed = 1};
-    struct argp argp = {options, parse, "place|load", "Measures.",
-                        NULL,    NULL,  NULL};
+    struct argp argp = {
+        options, parse_option, "place|load", "Runs a measurement.",
+        NULL,    NULL,         NULL};
 
     if (sodium_init() < 0) {
         return 1;
--- a/tools/bench/bench_place.c
+++ b/tools/bench/bench_place.c
@@ -1,5 +1,6 @@
-/* Cost of placement: a pass over waiting tasks on busy workers, beside a
- * plain first-fit scan over the same workers and tasks in the same run. */
+/* Duration of a placement pass over waiting tasks with busy workers, and for
+ * comparison of a first-fit scan over the same workers and tasks, in the same
+ * run. */
 #include <stdio.h>
 #include <string.h>
 
@@ -12,7 +13,7 @@
     DEFAULT_WAITING = 10000,
     TASKS_PER_JOB = 10,
     PASSES = 200,
-    RACK_SIZE = 8
+    WORKERS_PER_RACK = 8
 };
 
 static void
@@ -26,16 +27,16 @@
         add_worker(site, i);
         g_snprintf(name, sizeof(name), "w%02u", i);
         target = owner_target_get(site->owner, name);
-        set_rack(target, i / RACK_SIZE);
+        set_rack(target, i / WORKERS_PER_RACK);
     }
 }
 
-/* What a pass would cost if each waiting job's tasks simply took the first
- * workers with room. */
+/* Duration of a pass that only finds, for each waiting job, the first worker
+ * with a free accelerator. */
 static double
-first_fit_us(const struct site *site, unsigned jobs)
+measure_first_fit_us(const struct site *site, unsigned jobs)
 {
-    double began = bench_now_us();
+    double started_us = bench_now_us();
     volatile unsigned found = 0;
 
     for (unsigned j = 0; j < jobs; j++) {
@@ -55,7 +56,7 @@
             }
         }
     }
-    return bench_now_us() - began;
+    return bench_now_us() - started_us;
 }
 
 int
@@ -66,39 +67,40 @@
     unsigned waiting =
         options->waiting > 0 ? options->waiting : DEFAULT_WAITING;
     unsigned jobs = waiting / TASKS_PER_JOB;
-    const struct cw_step_spec like = {.tasks = TASKS_PER_JOB,
+    const struct cw_step_spec step = {.tasks = TASKS_PER_JOB,
                                       .accelerators = 1};
-    GArray *passes = g_array_new(FALSE, FALSE, sizeof(double));
+    GArray *pass_durations_us = g_array_new(FALSE, FALSE, sizeof(double));
     struct site site;
-    double plain;
+    double first_fit_duration_us;
 
     site_begin(&site);
     fill_workers(&site, workers);
     for (unsigned i = 0; i < workers * ACCELERATORS / TASKS_PER_JOB; i++) {
-        add_job(&site, 1, &like); /* these fill what lower work may take */
+        add_job(&site, 1, &step); /* fill what lower-priority work may use */
     }
     pass(&site, 10);
     for (unsigned i = 0; i < jobs; i++) {
-        add_job(&site, 1, &like);
+        add_job(&site, 1, &step);
     }
     for (unsigned i = 0; i < PASSES; i++) {
-        double began;
-        double took;
+        double started_us;
+        double elapsed_us;
 
-        site.owner->capacity_version++; /* as if something had come free */
-        began = bench_now_us();
+        site.owner->capacity_version++; /* as if capacity had been freed */
+        started_us = bench_now_us();
         pass(&site, 10);
-        took = bench_now_us() - began;
-        g_array_append_val(passes, took);
+        elapsed_us = bench_now_us() - started_us;
+        g_array_append_val(pass_durations_us, elapsed_us);
     }
-    plain = first_fit_us(&site, jobs);
+    first_fit_duration_us = measure_first_fit_us(&site, jobs);
     printf("mode=place workers=%u waiting=%u p50_us=%.0f p99_us=%.0f "
            "first_fit_us=%.0f p50_ratio=%.1f resident_mb=%.1f\n",
-           workers, waiting, bench_percentile(passes, 0.5),
-           bench_percentile(passes, 0.99), plain,
-           bench_percentile(passes, 0.5) / MAX(plain, 1.0),
+           workers, waiting, bench_percentile(pass_durations_us, 0.5),
+           bench_percentile(pass_durations_us, 0.99), first_fit_duration_us,
+           bench_percentile(pass_durations_us, 0.5) /
+               MAX(first_fit_duration_us, 1.0),
            cw_process_resident_bytes() / 1e6);
-    g_array_unref(passes);
+    g_array_unref(pass_durations_us);
     site_end(&site);
     return 0;
 }
--- a/tools/parsers/parsers_fuzz.c
+++ b/tools/parsers/parsers_fuzz.c
@@ -1,5 +1,5 @@
-/* A libFuzzer target for every parser that faces outside: the first byte
- * chooses which.  Built with clang by `make parsers`. */
+/* A libFuzzer target for every parser of external input: the first byte
+ * selects the parser.  Built with clang by `make parsers`. */
 #include <string.h>
 #include <sodium.h>
 
@@ -10,7 +10,7 @@
 #include "curlewcart/cw_xdr.h"
 #include "platform/platform.h"
 
-/* The name is libFuzzer's. */
+/* libFuzzer requires this name. */
 /* NOLINTNEXTLINE(readability-identifier-naming) */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
@@ -52,7 +52,7 @@
     }
 }
 
-/* ---- the platform's bodies, as the adapter reads them ---- */
+/* ---- bodies of the platform, as its adapter parses them ---- */
 
 static void
 parse_platform_job(const char *text, size_t size)
@@ -97,7 +97,7 @@
     memset(&record, 0, sizeof(record));
     if (cw_xdr_decode((xdrproc_t)xdr_cw_bundle_rec, &record, text, size)) {
         cw_chain_apply(chain, &record, NULL);
-        content = cw_chain_content(&record, NULL);
+        content = cw_chain_decode_content(&record, NULL);
         if (content != NULL) {
             g_bytes_unref(content);
         }
--- a/tools/proxy/proxy.c
+++ b/tools/proxy/proxy.c
@@ -1,22 +1,23 @@
-/* curlewcart-proxy: TCP links on loopback that misbehave when told to, for
- * tests with real processes.
+/* curlewcart-proxy: forwards TCP connections on loopback and injects faults
+ * into them on command, for tests with real processes.
  *
- * Commands come on standard input, a line each; LINK is a name, or a prefix
- * of names followed by "*":
+ * Standard input has one command a line; LINK is a name, or a prefix of names
+ * followed by "*":
  *
- *   add LINK HOST:PORT    listens for it, or turns it to another address;
- *                         answers "LINK PORT" on standard output
- *   delay LINK MS         every byte comes so much later
- *   cut LINK up|down|both nothing passes towards the server, the client or
- *                         either; connections are made all the same
- *   silence LINK          the connections of this moment carry nothing any
- *                         more, for good; new ones work
- *   reset LINK            the connections of this moment are reset
- *   refuse LINK           these, and all that are made from now on
- *   heal LINK             no delay, no cut, and connections are taken
+ *   add LINK HOST:PORT    adds a link to this server, or changes the server of
+ *                         an existing one; prints "LINK PORT", the port that
+ *                         the proxy listens on, to standard output
+ *   delay LINK MS         delays every byte
+ *   cut LINK up|down|both forwards nothing towards the server, towards the
+ *                         client, or either way; connections are still made
+ *   silence LINK          the open connections never forward anything again;
+ *                         new ones work
+ *   reset LINK            resets the open connections
+ *   refuse LINK           resets the open connections and all new ones
+ *   heal LINK             ends delay, cut and refuse
  *
- * What a cut holds back is passed on once it is healed, as a network does
- * that sends lost packets again. */
+ * Bytes that were read during a cut are forwarded once it is healed, as by a
+ * network that retransmits lost packets. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <netinet/in.h>
@@ -36,14 +37,14 @@
 
 enum {
     CHUNK_BYTES = 16 * 1024,
-    /* A side that does not read holds up the other one at so much. */
+    /* No more is read from a peer while so much waits for the other one. */
     QUEUE_BYTES_MAX = 4 * 1024 * 1024,
-    POLL_MOST_MS = 1000,
+    POLL_MAX_MS = 1000,
     BACKLOG = 128,
     COMMAND_BYTES_MAX = 512
 };
 
-enum direction { UP, DOWN, DIRECTIONS }; /* towards the server; the client */
+enum direction { UP, DOWN, DIRECTIONS }; /* UP: towards the server */
 
 struct link {
     char *name;
@@ -61,26 +62,26 @@
     struct timespec due;
 };
 
-/* One half of a connection: what was read from `from` and goes to `to`. */
-struct half {
+/* One direction of a connection: bytes are read from `from` for `to`. */
+struct stream {
     int from;
     int to;
     GQueue chunks; /* struct chunk */
-    size_t queued;
-    bool ended;  /* `from` has sent its last byte */
-    bool closed; /* `to` was told */
+    size_t queued_bytes;
+    bool ended;  /* `from` was read to its end */
+    bool closed; /* `to` was shut down for writing */
 };
 
-struct pair {
+struct connection {
     struct link *link;
-    struct half halves[DIRECTIONS];
-    bool silent;
-    bool broken;
+    struct stream streams[DIRECTIONS];
+    bool silent; /* forwards nothing, for good */
+    bool broken; /* a socket failed, or is to be reset */
 };
 
 struct proxy {
-    GPtrArray *links; /* struct link */
-    GPtrArray *pairs; /* struct pair */
+    GPtrArray *links;       /* struct link */
+    GPtrArray *connections; /* struct connection */
     GString *input;
 };
 
@@ -102,19 +103,19 @@
 }
 
 static void
-pair_free(gpointer data)
+connection_free(gpointer data)
 {
-    struct pair *pair = data;
+    struct connection *connection = data;
 
     for (int d = 0; d < DIRECTIONS; d++) {
-        g_queue_clear_full(&pair->halves[d].chunks, chunk_free);
+        g_queue_clear_full(&connection->streams[d].chunks, chunk_free);
     }
-    close(pair->halves[UP].from);
-    close(pair->halves[DOWN].from);
-    g_free(pair);
+    close(connection->streams[UP].from);
+    close(connection->streams[DOWN].from);
+    g_free(connection);
 }
 
-/* Closing a socket then sends a reset. */
+/* Makes closing the socket send a reset. */
 static void
 reset_on_close(int socket)
 {
@@ -129,7 +130,7 @@
     const int on = 1;
     int client = accept4(link->listener, NULL, NULL, SOCK_NONBLOCK);
     int server;
-    struct pair *pair;
+    struct connection *connection;
 
     if (client < 0) {
         return;
@@ -139,96 +140,99 @@
         connect(server, (struct sockaddr *)&link->server,
                 sizeof(link->server)) != 0)
     {
-        reset_on_close(client); /* as a port without a listener does */
+        reset_on_close(client); /* as for a port without a listener */
         close(client);
         close(server);
         return;
     }
     (void)setsockopt(client, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
     (void)setsockopt(server, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-    pair = g_new0(struct pair, 1);
-    pair->link = link;
-    pair->halves[UP].from = client;
-    pair->halves[UP].to = server;
-    pair->halves[DOWN].from = server;
-    pair->halves[DOWN].to = client;
-    g_queue_init(&pair->halves[UP].chunks);
-    g_queue_init(&pair->halves[DOWN].chunks);
-    g_ptr_array_add(proxy->pairs, pair);
+    connection = g_new0(struct connection, 1);
+    connection->link = link;
+    connection->streams[UP].from = client;
+    connection->streams[UP].to = server;
+    connection->streams[DOWN].from = server;
+    connection->streams[DOWN].to = client;
+    g_queue_init(&connection->streams[UP].chunks);
+    g_queue_init(&connection->streams[DOWN].chunks);
+    g_ptr_array_add(proxy->connections, connection);
 }
 
 static void
-read_half(struct pair *pair, struct half *half)
+read_stream(struct connection *connection, struct stream *stream)
 {
     char bytes[CHUNK_BYTES];
-    ssize_t got = recv(half->from, bytes, sizeof(bytes), MSG_DONTWAIT);
+    ssize_t received = recv(stream->from, bytes, sizeof(bytes), MSG_DONTWAIT);
     struct chunk *chunk;
 
-    if (got < 0) {
-        pair->broken = errno != EAGAIN && errno != EINTR;
+    if (received < 0) {
+        connection->broken = errno != EAGAIN && errno != EINTR;
         return;
     }
-    if (got == 0) {
-        half->ended = true;
+    if (received == 0) {
+        stream->ended = true;
         return;
     }
     chunk = g_new0(struct chunk, 1);
-    chunk->bytes = g_bytes_new(bytes, (gsize)got);
-    chunk->due = cw_time_add_ms(now(), pair->link->delay_ms);
-    half->queued += (size_t)got;
-    g_queue_push_tail(&half->chunks, chunk);
+    chunk->bytes = g_bytes_new(bytes, (gsize)received);
+    chunk->due = cw_time_add_ms(now(), connection->link->delay_ms);
+    stream->queued_bytes += (size_t)received;
+    g_queue_push_tail(&stream->chunks, chunk);
 }
 
-/* Passes on what is due; false if the other side takes no more now. */
+/* Sends the rest of the chunk.  Returns false if the peer accepts no more now,
+ * or on an error. */
 static bool
-write_chunk(struct pair *pair, struct half *half, struct chunk *chunk)
+write_chunk(struct connection *connection, struct stream *stream,
+            struct chunk *chunk)
 {
     gsize length;
     const char *bytes = g_bytes_get_data(chunk->bytes, &length);
-    ssize_t sent = send(half->to, bytes + chunk->sent, length - chunk->sent,
+    ssize_t sent = send(stream->to, bytes + chunk->sent, length - chunk->sent,
                         MSG_DONTWAIT | MSG_NOSIGNAL);
 
     if (sent < 0) {
-        pair->broken = errno != EAGAIN && errno != EINTR;
+        connection->broken = errno != EAGAIN && errno != EINTR;
         return false;
     }
     chunk->sent += (size_t)sent;
-    half->queued -= (size_t)sent;
+    stream->queued_bytes -= (size_t)sent;
     return chunk->sent == length;
 }
 
 static void
-write_half(struct pair *pair, enum direction direction)
+write_stream(struct connection *connection, enum direction direction)
 {
-    struct half *half = &pair->halves[direction];
+    struct stream *stream = &connection->streams[direction];
     struct chunk *chunk;
 
-    if (pair->silent || pair->link->cut[direction]) {
+    if (connection->silent || connection->link->cut[direction]) {
         return;
     }
-    while ((chunk = g_queue_peek_head(&half->chunks)) != NULL &&
+    while ((chunk = g_queue_peek_head(&stream->chunks)) != NULL &&
            !cw_time_before(now(), chunk->due) &&
-           write_chunk(pair, half, chunk))
+           write_chunk(connection, stream, chunk))
     {
-        chunk_free(g_queue_pop_head(&half->chunks));
+        chunk_free(g_queue_pop_head(&stream->chunks));
     }
-    if (half->ended && !half->closed && g_queue_is_empty(&half->chunks)) {
-        half->closed = true;
-        (void)shutdown(half->to, SHUT_WR);
+    if (stream->ended && !stream->closed && g_queue_is_empty(&stream->chunks))
+    {
+        stream->closed = true;
+        (void)shutdown(stream->to, SHUT_WR);
     }
 }
 
 static bool
-is_over(const struct pair *pair)
+is_finished(const struct connection *connection)
 {
-    return pair->broken ||
-           (pair->halves[UP].closed && pair->halves[DOWN].closed);
+    return connection->broken || (connection->streams[UP].closed &&
+                                  connection->streams[DOWN].closed);
 }
 
 /* ---- commands ---- */
 
 static bool
-matches(const char *pattern, const char *name)
+pattern_matches(const char *pattern, const char *name)
 {
     size_t length = strlen(pattern);
 
@@ -263,9 +267,9 @@
     struct link *link = NULL;
 
     for (guint i = 0; i < proxy->links->len && link == NULL; i++) {
-        struct link *known = proxy->links->pdata[i];
+        struct link *existing = proxy->links->pdata[i];
 
-        link = strcmp(known->name, name) == 0 ? known : NULL;
+        link = strcmp(existing->name, name) == 0 ? existing : NULL;
     }
     if (link == NULL) {
         link = g_new0(struct link, 1);
@@ -283,7 +287,7 @@
 }
 
 static void
-set_link(struct link *link, const char *verb, const char *value)
+apply_to_link(struct link *link, const char *verb, const char *value)
 {
     if (strcmp(verb, "delay") == 0) {
         link->delay_ms = (unsigned)strtoul(value, NULL, 10);
@@ -304,15 +308,15 @@
 }
 
 static void
-set_pair(struct pair *pair, const char *verb)
+apply_to_connection(struct connection *connection, const char *verb)
 {
     if (strcmp(verb, "silence") == 0) {
-        pair->silent = true;
+        connection->silent = true;
     }
     else if (strcmp(verb, "reset") == 0 || strcmp(verb, "refuse") == 0) {
-        reset_on_close(pair->halves[UP].from);
-        reset_on_close(pair->halves[DOWN].from);
-        pair->broken = true;
+        reset_on_close(connection->streams[UP].from);
+        reset_on_close(connection->streams[DOWN].from);
+        connection->broken = true;
     }
 }
 
@@ -329,15 +333,15 @@
     for (guint i = 0; count > 1 && i < proxy->links->len; i++) {
         struct link *link = proxy->links->pdata[i];
 
-        if (matches(words[1], link->name)) {
-            set_link(link, words[0], value);
+        if (pattern_matches(words[1], link->name)) {
+            apply_to_link(link, words[0], value);
         }
     }
-    for (guint i = 0; count > 1 && i < proxy->pairs->len; i++) {
-        struct pair *pair = proxy->pairs->pdata[i];
+    for (guint i = 0; count > 1 && i < proxy->connections->len; i++) {
+        struct connection *connection = proxy->connections->pdata[i];
 
-        if (matches(words[1], pair->link->name)) {
-            set_pair(pair, words[0]);
+        if (pattern_matches(words[1], connection->link->name)) {
+            apply_to_connection(connection, words[0]);
         }
     }
     g_strfreev(words);
@@ -348,13 +352,13 @@
 read_commands(struct proxy *proxy)
 {
     char bytes[COMMAND_BYTES_MAX];
-    ssize_t got = read(STDIN_FILENO, bytes, sizeof(bytes));
+    ssize_t received = read(STDIN_FILENO, bytes, sizeof(bytes));
     char *end;
 
-    if (got <= 0) {
-        return got < 0 && errno == EINTR;
+    if (received <= 0) {
+        return received < 0 && errno == EINTR;
     }
-    g_string_append_len(proxy->input, bytes, got);
+    g_string_append_len(proxy->input, bytes, received);
     while ((end = strchr(proxy->input->str, '\n')) != NULL) {
         char *line =
             g_strndup(proxy->input->str, (gsize)(end - proxy->input->str));
@@ -366,22 +370,23 @@
     return true;
 }
 
-/* ---- waiting ---- */
+/* ---- main loop ---- */
 
-/* Events to wait for at `half->from`; of the other half at the same socket
- * that it can be written to. */
+/* Events to poll for at the socket `stream->from`: readable, if there is space
+ * in the queue; writable, if the other direction has bytes due for it. */
 static short
-wanted_events(const struct pair *pair, enum direction direction)
+events_to_poll(const struct connection *connection, enum direction direction)
 {
-    const struct half *half = &pair->halves[direction];
-    const struct half *other = &pair->halves[1 - direction];
+    const struct stream *stream = &connection->streams[direction];
+    const struct stream *other = &connection->streams[1 - direction];
     const struct chunk *head = g_queue_peek_head((GQueue *)&other->chunks);
     short events = 0;
 
-    if (!half->ended && half->queued < QUEUE_BYTES_MAX) {
+    if (!stream->ended && stream->queued_bytes < QUEUE_BYTES_MAX) {
         events |= POLLIN;
     }
-    if (head != NULL && !pair->silent && !pair->link->cut[1 - direction] &&
+    if (head != NULL && !connection->silent &&
+        !connection->link->cut[1 - direction] &&
         !cw_time_before(now(), head->due))
     {
         events |= POLLOUT;
@@ -389,33 +394,35 @@
     return events;
 }
 
-/* Milliseconds until a delayed chunk is due. */
+/* Milliseconds until the next delayed chunk is due, POLL_MAX_MS at most. */
 static int
-wait_ms(const struct proxy *proxy)
+poll_timeout_ms(const struct proxy *proxy)
 {
-    int64_t least = POLL_MOST_MS;
+    int64_t timeout_ms = POLL_MAX_MS;
 
-    for (guint i = 0; i < proxy->pairs->len; i++) {
-        struct pair *pair = proxy->pairs->pdata[i];
+    for (guint i = 0; i < proxy->connections->len; i++) {
+        struct connection *connection = proxy->connections->pdata[i];
 
         for (int d = 0; d < DIRECTIONS; d++) {
-            struct chunk *head = g_queue_peek_head(&pair->halves[d].chunks);
+            struct chunk *head =
+                g_queue_peek_head(&connection->streams[d].chunks);
 
-            if (head != NULL && !pair->silent && !pair->link->cut[d] &&
-                cw_time_before(now(), head->due))
+            if (head != NULL && !connection->silent &&
+                !connection->link->cut[d] && cw_time_before(now(), head->due))
             {
-                least = MIN(least, cw_time_diff_ms(now(), head->due) + 1);
+                timeout_ms =
+                    MIN(timeout_ms, cw_time_diff_ms(now(), head->due) + 1);
             }
         }
     }
-    return (int)MAX(least, 0);
+    return (int)MAX(timeout_ms, 0);
 }
 
 static void
-add_poll(GArray *polls, int descriptor, short events)
+add_poll_entry(GArray *polls, int descriptor, short events)
 {
-    /* A negative descriptor is passed over: without events poll would still
-     * tell of a hang-up, again and again. */
+    /* poll() ignores a negative descriptor.  Without events it would still
+     * report a hang-up, in every call. */
     struct pollfd entry = {.fd = events != 0 ? descriptor : -1,
                            .events = events};
 
@@ -423,53 +430,56 @@
 }
 
 static void
-serve_pairs(struct proxy *proxy, const GArray *polls, guint first, guint count)
+serve_connections(struct proxy *proxy, const GArray *polls, guint first,
+                  guint count)
 {
     for (guint i = 0; i < count; i++) {
-        struct pair *pair = proxy->pairs->pdata[i];
+        struct connection *connection = proxy->connections->pdata[i];
 
         for (int d = 0; d < DIRECTIONS; d++) {
             const struct pollfd *entry = &g_array_index(
                 polls, struct pollfd, first + i * DIRECTIONS + (guint)d);
 
             if ((entry->revents & (POLLIN | POLLHUP | POLLERR)) != 0) {
-                read_half(pair, &pair->halves[d]);
+                read_stream(connection, &connection->streams[d]);
             }
         }
-        write_half(pair, UP);
-        write_half(pair, DOWN);
+        write_stream(connection, UP);
+        write_stream(connection, DOWN);
     }
-    for (guint i = proxy->pairs->len; i-- > 0;) {
-        if (is_over(proxy->pairs->pdata[i])) {
-            g_ptr_array_remove_index_fast(proxy->pairs, i);
+    for (guint i = proxy->connections->len; i-- > 0;) {
+        if (is_finished(proxy->connections->pdata[i])) {
+            g_ptr_array_remove_index_fast(proxy->connections, i);
         }
     }
 }
 
-/* One round; false once there are no more commands to come. */
+/* One iteration of the main loop.  Returns false at the end of standard
+ * input. */
 static bool
 run_once(struct proxy *proxy)
 {
     GArray *polls = g_array_new(FALSE, FALSE, sizeof(struct pollfd));
     guint links = proxy->links->len;
-    guint pairs = proxy->pairs->len;
+    guint connections = proxy->connections->len;
     bool more = true;
 
-    add_poll(polls, STDIN_FILENO, POLLIN);
+    add_poll_entry(polls, STDIN_FILENO, POLLIN);
     for (guint i = 0; i < links; i++) {
-        add_poll(polls, ((struct link *)proxy->links->pdata[i])->listener,
-                 POLLIN);
+        add_poll_entry(
+            polls, ((struct link *)proxy->links->pdata[i])->listener, POLLIN);
     }
-    for (guint i = 0; i < pairs; i++) {
-        struct pair *pair = proxy->pairs->pdata[i];
+    for (guint i = 0; i < connections; i++) {
+        struct connection *connection = proxy->connections->pdata[i];
 
         for (int d = 0; d < DIRECTIONS; d++) {
-            add_poll(polls, pair->halves[d].from,
-                     wanted_events(pair, (enum direction)d));
+            add_poll_entry(polls, connection->streams[d].from,
+                           events_to_poll(connection, (enum direction)d));
         }
     }
-    (void)poll((struct pollfd *)polls->data, polls->len, wait_ms(proxy));
-    serve_pairs(proxy, polls, 1 + links, pairs);
+    (void)poll((struct pollfd *)polls->data, polls->len,
+               poll_timeout_ms(proxy));
+    serve_connections(proxy, polls, 1 + links, connections);
     for (guint i = 0; i < links; i++) {
         if (g_array_index(polls, struct pollfd, 1 + i).revents != 0) {
             accept_connection(proxy, proxy->links->pdata[i]);
@@ -487,7 +497,7 @@
 {
     struct proxy proxy = {
         .links = g_ptr_array_new(),
-        .pairs = g_ptr_array_new_with_free_func(pair_free),
+        .connections = g_ptr_array_new_with_free_func(connection_free),
         .input = g_string_new(NULL),
     };
 
