--- a/emulator/emulator_main.c
+++ b/emulator/emulator_main.c
@@ -1,4 +1,4 @@
-/* curlewcart-emulator: days of a deployment in one process, from seeds. */
+/* curlewcart-emulator: simulates days of a deployment from seeds. */
 #include <argp.h>
 #include <pthread.h>
 #include <stdbool.h>
@@ -15,35 +15,34 @@
 
 enum {
     DEFAULT_DAYS = 1000,
-    DEFAULT_JOBS = 8,
-    PROGRESS_EVERY = 100,
-    /* The sizes of the second milestone. */
+    DEFAULT_THREADS = 8,
+    PROGRESS_INTERVAL_DAYS = 100,
+    /* Size of the deployment that the second milestone asks for. */
     DEFAULT_VMS = 30,
     DEFAULT_WORKERS = 350,
-    DEFAULT_WORK = 1000,
+    DEFAULT_JOBS = 1000,
     PERCENT = 100,
     EXIT_VIOLATION = 1,
     EXIT_USAGE = 2,
-    /* Two long steps one after the other, each of which fails once, have to
-     * end in it. */
-    LONG_QUIET_TIMES = 3
+    /* Long enough for two long steps in sequence, each of which fails once. */
+    LONG_TASK_QUIET_FACTOR = 3
 };
 
 struct arguments {
-    const char *verb;
+    const char *command;
     unsigned seed;
     unsigned days;
-    unsigned jobs;
+    unsigned threads;
     bool first; /* stop at the first violation */
     unsigned vms;
     unsigned workers;
-    unsigned work;     /* jobs handed in */
-    unsigned crashing; /* of them, in a hundred */
-    unsigned tails;    /* long tasks, in a hundred */
+    unsigned jobs;
+    unsigned crashing_percent; /* of the jobs */
+    unsigned tail_percent;     /* of the tasks */
     unsigned shrinks;
     unsigned restarts;
-    bool unguarded;
-    unsigned late;
+    bool ignores_capacity;
+    unsigned late_episodes;
     unsigned cordons;
     unsigned owner_kills;
     unsigned owner_losses;
@@ -53,28 +52,34 @@
 
 static const struct argp_option options[] = {
     {"seed", 's', "N", 0, "First seed (or the one to replay)", 0},
-    {"days", 'd', "N", 0, "How many days to play", 0},
+    {"days", 'd', "N", 0, "Number of days to simulate", 0},
     {"first", 'f', NULL, 0, "Stop at the first violation", 0},
-    {"jobs", 'j', "N", 0, "How many at a time", 0},
-    {"vms", 'v', "N", 0, "VMs of a day of this size", 0},
-    {"workers", 'w', "N", 0, "Workers of it", 0},
-    {"work", 'n', "N", 0, "Jobs handed in on it", 0},
+    {"jobs", 'j', "N", 0, "Days simulated in parallel", 0},
+    {"vms", 'v', "N", 0, "VMs (size only)", 0},
+    {"workers", 'w', "N", 0, "Workers (size only)", 0},
+    {"work", 'n', "N", 0, "Jobs submitted (size only)", 0},
     {"crashing", 'c', "PERCENT", 0, "Jobs that crash workers", 0},
     {"tails", 't', "PERCENT", 0,
      "Tasks that take several times as long as others", 0},
-    {"shrinks", 'r', "N", 0, "Times that a worker's room shrinks", 0},
+    {"shrinks", 'r', "N", 0,
+     "Times that a worker's capacity shrinks for a while", 0},
     {"restarts", 'a', "N", 0,
-     "Times that workers crash and start again under their ids", 0},
-    {"unguarded", 'u', NULL, 0, "Workers start what does not fit", 0},
-    {"late", 'l', "N", 0, "Times that some workers are late with answers", 0},
+     "Times that workers crash and restart under their ids", 0},
+    {"unguarded", 'u', NULL, 0, "Workers start what exceeds their capacity",
+     0},
+    {"late", 'l', "N", 0,
+     "Times that some workers answer late or reset connections", 0},
     {"cordons", 'o', "N", 0,
      "Times that a data centre is closed to new work for a while", 0},
     {"owner-kills", 'k', "N", 0,
-     "Times that workers crash and the VM that decides is killed soon after",
+     "Times that workers crash and the VM that owns the jobs is killed soon "
+     "after",
      0},
-    {"owner-losses", 'x', "N", 0, "The same, with a VM that stays away", 0},
-    {"calm", 'q', NULL, 0, "Nothing strikes", 0},
-    {"wide", 'b', NULL, 0, "Wide jobs and gangs, and more of them", 0},
+    {"owner-losses", 'x', "N", 0,
+     "The same, with a VM that stays down for long", 0},
+    {"calm", 'q', NULL, 0, "No random faults", 0},
+    {"wide", 'b', NULL, 0,
+     "Jobs and gangs larger than a rack, and more of them", 0},
     {0},
 };
 
@@ -94,7 +99,7 @@
         arguments->first = true;
         break;
     case 'j':
-        arguments->jobs = (unsigned)strtoul(value, NULL, 10);
+        arguments->threads = (unsigned)strtoul(value, NULL, 10);
         break;
     case 'v':
         arguments->vms = (unsigned)strtoul(value, NULL, 10);
@@ -103,13 +108,13 @@
         arguments->workers = (unsigned)strtoul(value, NULL, 10);
         break;
     case 'n':
-        arguments->work = (unsigned)strtoul(value, NULL, 10);
+        arguments->jobs = (unsigned)strtoul(value, NULL, 10);
         break;
     case 'c':
-        arguments->crashing = (unsigned)strtoul(value, NULL, 10);
+        arguments->crashing_percent = (unsigned)strtoul(value, NULL, 10);
         break;
     case 't':
-        arguments->tails = (unsigned)strtoul(value, NULL, 10);
+        arguments->tail_percent = (unsigned)strtoul(value, NULL, 10);
         break;
     case 'r':
         arguments->shrinks = (unsigned)strtoul(value, NULL, 10);
@@ -118,10 +123,10 @@
         arguments->restarts = (unsigned)strtoul(value, NULL, 10);
         break;
     case 'u':
-        arguments->unguarded = true;
+        arguments->ignores_capacity = true;
         break;
     case 'l':
-        arguments->late = (unsigned)strtoul(value, NULL, 10);
+        arguments->late_episodes = (unsigned)strtoul(value, NULL, 10);
         break;
     case 'o':
         arguments->cordons = (unsigned)strtoul(value, NULL, 10);
@@ -139,13 +144,13 @@
         arguments->wide = true;
         break;
     case ARGP_KEY_ARG:
-        if (arguments->verb != NULL) {
+        if (arguments->command != NULL) {
             argp_usage(state);
         }
-        arguments->verb = value;
+        arguments->command = value;
         break;
     case ARGP_KEY_END:
-        if (arguments->verb == NULL) {
+        if (arguments->command == NULL) {
             argp_usage(state);
         }
         break;
@@ -155,21 +160,21 @@
     return 0;
 }
 
-/* The standard day of a seed, with what the command line adds. */
+/* The standard day of a seed, changed as the command line says. */
 static struct world_options
-day_of(const struct arguments *arguments, unsigned seed)
+options_for_seed(const struct arguments *arguments, unsigned seed)
 {
     struct world_options day = world_standard_day(seed);
 
-    day.crashing = arguments->crashing;
-    day.tails = arguments->tails;
-    if (day.tails > 0) {
-        day.quiet_ms *= LONG_QUIET_TIMES;
+    day.crashing_percent = arguments->crashing_percent;
+    day.tail_percent = arguments->tail_percent;
+    if (day.tail_percent > 0) {
+        day.quiet_ms *= LONG_TASK_QUIET_FACTOR;
     }
     day.shrinks = arguments->shrinks;
     day.restarts = arguments->restarts;
-    day.unguarded = arguments->unguarded;
-    day.late = arguments->late;
+    day.ignores_capacity = arguments->ignores_capacity;
+    day.late_episodes = arguments->late_episodes;
     day.cordons = arguments->cordons;
     day.owner_kills = arguments->owner_kills;
     day.owner_losses = arguments->owner_losses;
@@ -182,62 +187,63 @@
     return day;
 }
 
-/* Days shared out among threads. */
-struct share {
+/* Shared by the threads of a fuzz command. */
+struct fuzz_state {
     const struct arguments *arguments;
-    unsigned next; /* with ck_pr */
-    unsigned bad;
-    struct judge_counts counts;
+    unsigned next; /* day; atomic */
+    unsigned violations;
+    struct checker_counts counts;
     unsigned takeovers;
     pthread_mutex_t lock;
 };
 
 static void
-add_counts(struct share *share, const struct world_result *result)
+add_counts(struct fuzz_state *state, const struct world_result *result)
 {
-    share->counts.jobs += result->counts.jobs;
-    share->counts.accepted += result->counts.accepted;
-    share->counts.completed += result->counts.completed;
-    share->counts.failed += result->counts.failed;
-    share->counts.cancelled += result->counts.cancelled;
-    share->counts.lost += result->counts.lost;
-    share->counts.refused += result->counts.refused;
-    share->counts.crashes += result->counts.crashes;
-    share->counts.innocent += result->counts.innocent;
-    share->counts.starts += result->counts.starts;
-    share->takeovers += result->takeovers;
+    state->counts.jobs += result->counts.jobs;
+    state->counts.accepted += result->counts.accepted;
+    state->counts.completed += result->counts.completed;
+    state->counts.failed += result->counts.failed;
+    state->counts.cancelled += result->counts.cancelled;
+    state->counts.lost += result->counts.lost;
+    state->counts.refused += result->counts.refused;
+    state->counts.crashes += result->counts.crashes;
+    state->counts.wrongly_failed += result->counts.wrongly_failed;
+    state->counts.starts += result->counts.starts;
+    state->takeovers += result->takeovers;
 }
 
 static void *
-play_share(void *argument)
+fuzz_thread(void *argument)
 {
-    struct share *share = argument;
-    bool shows = isatty(STDERR_FILENO) != 0;
+    struct fuzz_state *state = argument;
+    bool show_progress = isatty(STDERR_FILENO) != 0;
 
     for (;;) {
-        unsigned day = ck_pr_faa_uint(&share->next, 1);
+        unsigned day = ck_pr_faa_uint(&state->next, 1);
         struct world_options world =
-            day_of(share->arguments, share->arguments->seed + day);
+            options_for_seed(state->arguments, state->arguments->seed + day);
         struct world_result result;
 
-        if (day >= share->arguments->days ||
-            (share->arguments->first && ck_pr_load_uint(&share->bad) > 0))
+        if (day >= state->arguments->days ||
+            (state->arguments->first &&
+             ck_pr_load_uint(&state->violations) > 0))
         {
             return NULL;
         }
-        world_play(&world, &result);
-        pthread_mutex_lock(&share->lock);
-        add_counts(share, &result);
+        world_run(&world, &result);
+        pthread_mutex_lock(&state->lock);
+        add_counts(state, &result);
         if (result.violation != NULL) {
-            ck_pr_inc_uint(&share->bad);
+            ck_pr_inc_uint(&state->violations);
             printf("seed %u: %s\n  faults: %s\n", world.seed, result.violation,
                    result.faults);
             fflush(stdout);
         }
-        if (shows && day % PROGRESS_EVERY == 0) {
+        if (show_progress && day % PROGRESS_INTERVAL_DAYS == 0) {
             fprintf(stderr, "\r%u days", day);
         }
-        pthread_mutex_unlock(&share->lock);
+        pthread_mutex_unlock(&state->lock);
         g_free(result.violation);
         g_free(result.faults);
     }
@@ -246,17 +252,17 @@
 static int
 fuzz(const struct arguments *arguments)
 {
-    struct share share = {.arguments = arguments,
-                          .lock = PTHREAD_MUTEX_INITIALIZER};
-    pthread_t *threads = g_new0(pthread_t, arguments->jobs);
+    struct fuzz_state state = {.arguments = arguments,
+                               .lock = PTHREAD_MUTEX_INITIALIZER};
+    pthread_t *threads = g_new0(pthread_t, arguments->threads);
 
-    for (unsigned i = 0; i < arguments->jobs; i++) {
-        if (pthread_create(&threads[i], NULL, play_share, &share) != 0) {
-            fprintf(stderr, "curlewcart-emulator: no thread\n");
+    for (unsigned i = 0; i < arguments->threads; i++) {
+        if (pthread_create(&threads[i], NULL, fuzz_thread, &state) != 0) {
+            fprintf(stderr, "curlewcart-emulator: cannot create a thread\n");
             exit(EXIT_USAGE);
         }
     }
-    for (unsigned i = 0; i < arguments->jobs; i++) {
+    for (unsigned i = 0; i < arguments->threads; i++) {
         pthread_join(threads[i], NULL);
     }
     g_free(threads);
@@ -264,24 +270,24 @@
         "%u days from seed %u: %u violations; %u jobs, %u accepted, %u "
         "completed, %u failed, %u cancelled, %u lost, %u refused, %u starts, "
         "%u takeovers, %u crashes, %u innocent jobs given up\n",
-        arguments->days, arguments->seed, share.bad, share.counts.jobs,
-        share.counts.accepted, share.counts.completed, share.counts.failed,
-        share.counts.cancelled, share.counts.lost, share.counts.refused,
-        share.counts.starts, share.takeovers, share.counts.crashes,
-        share.counts.innocent);
-    return share.bad > 0 ? EXIT_VIOLATION : 0;
+        arguments->days, arguments->seed, state.violations, state.counts.jobs,
+        state.counts.accepted, state.counts.completed, state.counts.failed,
+        state.counts.cancelled, state.counts.lost, state.counts.refused,
+        state.counts.starts, state.takeovers, state.counts.crashes,
+        state.counts.wrongly_failed);
+    return state.violations > 0 ? EXIT_VIOLATION : 0;
 }
 
 static int
 replay(const struct arguments *arguments)
 {
-    struct world_options world = day_of(arguments, arguments->seed);
+    struct world_options world = options_for_seed(arguments, arguments->seed);
     struct world_result result;
     int status = 0;
 
     world.trace = true;
     cw_log_set_level("info");
-    world_play(&world, &result);
+    world_run(&world, &result);
     printf("seed %u: %s\n", world.seed,
            result.violation != NULL ? result.violation : "no violation");
     status = result.violation != NULL ? EXIT_VIOLATION : 0;
@@ -299,9 +305,10 @@
     return (double)now.tv_sec + (double)now.tv_nsec / CW_NS_PER_S;
 }
 
-/* One calm day of any size: what it costs the product's own code. */
+/* Simulates one day of any size without faults and prints the processor time
+ * that the product's code takes. */
 static int
-play_size(const struct arguments *arguments)
+run_size(const struct arguments *arguments)
 {
     struct world_options world = world_standard_day(arguments->seed);
     struct world_result result;
@@ -313,16 +320,16 @@
     world.faults = 0;
     world.vms = arguments->vms;
     world.workers = arguments->workers;
-    world.jobs = arguments->work;
-    world_play(&world, &result);
+    world.jobs = arguments->jobs;
+    world_run(&world, &result);
     took_s = wall_s() - began;
     day_s = (double)(world.day_ms + world.quiet_ms) / CW_MS_PER_S;
     printf("vms=%u workers=%u jobs=%u completed=%u starts=%u "
            "busiest_percent=%.2f others_percent=%.3f times_its_clock=%.1f "
            "resident_mb=%.0f violation=%s\n",
            world.vms, world.workers, world.jobs, result.counts.completed,
-           result.counts.starts, result.busiest_s * PERCENT / day_s,
-           (result.all_vms_s - result.busiest_s) * PERCENT / day_s /
+           result.counts.starts, result.busiest_vm_cpu_s * PERCENT / day_s,
+           (result.all_vms_cpu_s - result.busiest_vm_cpu_s) * PERCENT / day_s /
                MAX(1, world.vms - 1),
            day_s / took_s, cw_process_resident_bytes() / 1e6,
            result.violation != NULL ? result.violation : "none");
@@ -335,34 +342,35 @@
 int
 main(int argc, char **argv)
 {
-    static const struct argp argp = {
-        options,
-        parse,
-        "fuzz|replay|size",
-        "Plays days of a deployment under faults and judges the promises.",
-        NULL,
-        NULL,
-        NULL};
+    static const struct argp argp = {options,
+                                     parse,
+                                     "fuzz|replay|size",
+                                     "Simulates days of a deployment under "
+                                     "faults and checks its guarantees.",
+                                     NULL,
+                                     NULL,
+                                     NULL};
     struct arguments arguments = {
         .seed = 1,
         .days = DEFAULT_DAYS,
-        .jobs = DEFAULT_JOBS,
+        .threads = DEFAULT_THREADS,
         .vms = DEFAULT_VMS,
         .workers = DEFAULT_WORKERS,
-        .work = DEFAULT_WORK,
+        .jobs = DEFAULT_JOBS,
     };
 
     argp_parse(&argp, argc, argv, 0, NULL, &arguments);
     cw_log_setup("error", "emulator");
-    if (strcmp(arguments.verb, "fuzz") == 0) {
+    if (strcmp(arguments.command, "fuzz") == 0) {
         return fuzz(&arguments);
     }
-    if (strcmp(arguments.verb, "replay") == 0) {
+    if (strcmp(arguments.command, "replay") == 0) {
         return replay(&arguments);
     }
-    if (strcmp(arguments.verb, "size") == 0) {
-        return play_size(&arguments);
+    if (strcmp(arguments.command, "size") == 0) {
+        return run_size(&arguments);
     }
-    fprintf(stderr, "curlewcart-emulator: no verb \"%s\"\n", arguments.verb);
+    fprintf(stderr, "curlewcart-emulator: unknown command \"%s\"\n",
+            arguments.command);
     return EXIT_USAGE;
 }
--- a/emulator/internal/world_private.h
+++ b/emulator/internal/world_private.h
@@ -1,4 +1,4 @@
-/* Inside the world: what its parts share. */
+/* What the files of the simulation share. */
 #ifndef CURLEWCART_EMULATOR_WORLD_PRIVATE_H
 #define CURLEWCART_EMULATOR_WORLD_PRIVATE_H
 
@@ -17,44 +17,44 @@
 #include "emulator/world.h"
 
 #define TARGETS_TOPIC "keyed.servers"
-#define ORDERS_TOPIC "keyed.op"
+#define COMMANDS_TOPIC "keyed.op"
 
 struct world;
 struct vm;
 
-/* Something that happens at a time. */
+/* A callback that is due at a time. */
 struct event {
     int64_t at_ms;
-    uint64_t order;
+    uint64_t order; /* in which events of the same time run */
     void (*run)(struct world *world, void *context);
     void *context;
 };
 
-/* A VM: one life of a daemon's decisions. */
+/* A VM that runs the product's code; each restart is a new incarnation. */
 struct vm {
-    struct cw_store store; /* first: the store's port */
+    struct cw_store store; /* first, so that a store's pointer is the VM's */
     struct vm_targets {
         struct cw_targets base;
         struct vm *vm;
     } targets;
     struct world *world;
     unsigned index;
-    unsigned life;
+    unsigned incarnation;
     bool alive;
     bool leaving;
     int64_t frozen_until_ms;
-    int64_t cut_until_ms; /* from the store */
-    int64_t due_ms;
+    int64_t cut_until_ms; /* disconnected from the store */
+    int64_t due_ms;       /* of its next tick */
     struct cw_replica *replica;
-    struct cw_follower *orders; /* of operators; or NULL */
-    struct cw_cordons *cordons; /* or NULL */
+    struct cw_follower *commands; /* operator commands; or NULL */
+    struct cw_cordons *cordons;   /* or NULL */
     struct cw_entry *entry;
     struct cw_owner *owner;
     struct cw_counters counters;
-    GPtrArray *calls;   /* struct call, under way */
+    GPtrArray *calls;   /* struct call, in flight */
     GPtrArray *clients; /* struct client_call, waiting for an answer */
     unsigned takeovers;
-    double busy_s; /* processor time of the product's code in it */
+    double cpu_s; /* processor time of the product's code */
 };
 
 struct world {
@@ -66,35 +66,37 @@
     uint64_t next_order;
     struct store_model *store;
     struct worker_fleet *fleet;
-    struct judge *judge;
+    struct checker *checker;
     struct cw_routing *routing;
     GPtrArray *vms; /* struct vm */
     GString *faults;
-    int64_t disturbed_until_ms; /* by faults and what follows from them */
-    int64_t struck_until_ms;    /* by faults alone */
-    /* what the network does at present */
+    int64_t disturbed_until_ms; /* faults or their effects last until then */
+    int64_t faults_until_ms;    /* faults themselves last until then */
+    /* present state of the network */
     int64_t store_down_until_ms;
-    bool store_busy;
+    bool store_busy; /* while it is down, it refuses calls at once */
     int64_t store_slow_until_ms;
-    int64_t lost_until_ms;
-    unsigned lost_percent;
-    bool lost_late;
-    int64_t orders_late_until_ms;
-    GHashTable *cut_workers;      /* id -> until, in ms */
-    GHashTable *late_workers;     /* id -> until, in ms */
-    GHashTable *draining;         /* id, a set */
-    GHashTable *cordons;          /* data centre -> struct world_cordon */
-    int64_t late_orders_until_ms; /* such orders may still be carried out */
+    int64_t append_loss_until_ms;
+    unsigned append_loss_percent;
+    bool append_loss_delayed;        /* lost appends are applied after seconds;
+                                        else at once, but not answered */
+    int64_t orders_delayed_until_ms; /* some orders arrive after seconds */
+    GHashTable *cut_workers;         /* id -> disconnected until, in ms */
+    GHashTable *late_workers;        /* id -> late until, in ms */
+    GHashTable *draining;            /* set of ids */
+    GHashTable *cordons;             /* data centre -> struct world_cordon */
+    int64_t delayed_orders_until_ms; /* delayed orders may arrive until
+                                        then */
 };
 
-/* Each rack stands in a data centre of its own. */
+/* Writes the name of a rack's data centre; each rack is one. */
 void world_dc_of_rack(const char *rack, char *dc, size_t size);
 
-/* A caller's call that waits for its answer. */
+/* A request of a caller that waits for its answer. */
 struct client_call {
     struct world *world;
     struct vm *vm;
-    struct judge_job *job;
+    struct checker_job *job;
     bool cancel;
     unsigned tries;
 };
@@ -108,20 +110,23 @@
     CALL_ORDER
 };
 
-/* A call under way: a copy of what was asked, and what it led to. */
+/* A call in flight from a VM to the store or a worker: a copy of the request,
+ * and its result. */
 struct call {
     struct vm *vm;
     enum call_kind kind;
-    bool ended; /* answered, or its VM is gone */
-    bool applied;
-    unsigned holds; /* events that refer to it */
-    int64_t give_up_ms;
-    int64_t wait_until_ms;
+    bool ended;    /* answered, or its VM was killed */
+    bool applied;  /* the store has carried it out */
+    unsigned refs; /* of events and functions that use it */
+    int64_t timeout_at_ms;
+    int64_t wait_until_ms; /* a long poll: an answer without news waits until
+                              then */
     char *topic;
     char *writer;
-    char *text;      /* after, member, address or worker */
+    char *text;      /* the key `after`, the member, or the worker's id */
     char *address;   /* of the worker that an order goes to */
-    int64_t boot_ms; /* of the life there that got it first; 0 none yet */
+    int64_t boot_ms; /* of the incarnation that received the order; 0: none
+                        has yet */
     GArray *records;
     GPtrArray *bytes;
     struct cw_store_append append;
@@ -146,145 +151,179 @@
 
 /* ---- world_call.c ---- */
 
+/* Creates a call with one reference. */
 struct call *
 world_call_new(struct vm *vm, enum call_kind kind, unsigned timeout_ms);
 
-/* Gives the VM its answer; a status other than OK has no content. */
+/* Answers the call unless it has ended: with its result if `status` is OK,
+ * else with the status alone. */
 void world_call_answer(struct call *call, enum cw_store_status status);
-void world_call_release(struct call *call);
 
-/* Keeps a call alive until it is released once more. */
-void world_call_hold(struct call *call);
+/* Drops a reference; the last one frees the call. */
+void world_call_unref(struct call *call);
 
-/* ---- world_time.c: events, chance, notes ---- */
+/* Adds a reference. */
+void world_call_ref(struct call *call);
 
-/* Runs `run` after some time; the earliest first, then in this order. */
+/* ---- world_time.c: events, random numbers, list of faults ---- */
+
+/* Runs `run` after `after_ms`; events of the same time run in the order in
+ * which they were scheduled. */
 void world_schedule(struct world *world, int64_t after_ms,
                     void (*run)(struct world *, void *), void *context);
 
-/* Takes the earliest event; the caller frees it. */
+/* Removes the earliest event; the caller frees it. */
 struct event *world_pop_event(struct world *world);
 
-unsigned world_pick(struct world *world, unsigned below);
-unsigned world_between(struct world *world, unsigned low, unsigned high);
-bool world_chance(struct world *world, unsigned percent);
+/* A random number below `below`; 0 if that is 0 or 1. */
+unsigned world_random_below(struct world *world, unsigned below);
+
+/* A random number from `low` to `high`. */
+unsigned
+world_random_between(struct world *world, unsigned low, unsigned high);
+
+/* True with a probability of `percent`. */
+bool world_random_chance(struct world *world, unsigned percent);
 
-/* True if nothing has disturbed anything lately. */
-bool world_calm(const struct world *world);
+/* True if no fault has had an effect for some seconds. */
+bool world_is_calm(const struct world *world);
 
-/* A fault lasts for `ms`, and what follows from it for `after_ms` more. */
+/* Records that a fault lasts for `ms`, and its effects for `after_ms` more. */
 void world_disturb(struct world *world, unsigned ms, unsigned after_ms);
 
-/* Writes a fault down. */
-void
-world_note(struct world *world, const char *format, ...) G_GNUC_PRINTF(2, 3);
+/* Adds a fault, or its end, to the list of faults. */
+void world_record_fault(struct world *world, const char *format, ...)
+    G_GNUC_PRINTF(2, 3);
 
-/* ---- world_net.c: what a VM sends, and what comes back ---- */
+/* ---- world_net.c: calls of VMs and their answers ---- */
 
-extern const struct cw_store_ops world_store_port;
-extern const struct cw_targets_ops world_targets_port;
+/* What VMs reach the store and the workers through. */
+extern const struct cw_store_ops world_store_ops;
+extern const struct cw_targets_ops world_targets_ops;
 
-/* Frees what an event of the network holds; false if it is of another
- * kind. */
-bool world_net_release(const struct event *event);
+/* Frees the context of an event of the network; false if the event is of
+ * another kind. */
+bool world_net_free_event(const struct event *event);
 
 /* ---- world_vms.c ---- */
 
-/* Processor time of this thread in seconds. */
+/* Processor time that this thread has used, in seconds. */
 double world_processor_s(void);
 
+/* Creates the objects of a VM's next incarnation. */
 void world_vm_boot(struct vm *vm);
+
+/* Kills a VM: frees its objects, and breaks its calls and connections. */
 void world_vm_kill(struct vm *vm);
+
+/* Boots a VM if it is down. */
 void world_vm_restart(struct world *world, void *vm);
+
+/* Ticks the VM's objects and sets the time of the next tick. */
 void world_vm_tick(struct vm *vm);
-struct vm *world_any_vm(struct world *world);
+
+/* Any of the VMs, also one that is down. */
+struct vm *world_random_vm(struct world *world);
 
 /* ---- world_load.c: callers ---- */
 
+/* Submits the job of a call, or sends its cancellation, to any VM. */
 void world_client_submit(struct world *world, void *client_call);
 void world_client_cancel(struct world *world, void *client_call);
-void world_new_job(struct world *world, void *unused);
+
+/* Makes a random job and submits it; some are cancelled later. */
+void world_submit_new_job(struct world *world, void *unused);
 
 /* ---- world_restarts.c ---- */
 
-/* Some workers crash, and are back under their ids. */
+/* Crashes some workers, which restart under their ids. */
 void world_restart_workers(struct world *world, void *unused);
 
-/* A worker crashes for good; another takes its place in the rack. */
+/* Crashes a worker for good and adds another to its rack. */
 void world_replace_worker(struct world *world, struct worker_model *worker);
 
-/* When the worker's life began, as it tells; 0 on days on which each life has
+/* Boot time that the worker reports; 0 on days on which each incarnation has
  * an id of its own. */
 int64_t world_reported_boot_ms(const struct world *world,
                                const struct worker_model *worker);
 
-/* A worker that is down is back under its id. */
-void world_worker_again(struct world *world, void *worker_model);
+/* Restarts a worker that is down under its id. */
+void world_restart_worker(struct world *world, void *worker_model);
 
 /* ---- world_owner_kills.c ---- */
 
-/* Workers crash, and the VM that decides is killed soon after. */
+/* Crashes workers, and soon after kills the VM that owns the jobs. */
 void world_owner_kill(struct world *world, void *unused);
 
-/* The same, and the VM stays away for long. */
+/* The same, but the VM stays down for long. */
 void world_owner_loss(struct world *world, void *unused);
 
 /* ---- world_late.c ---- */
 
-/* Some workers are late for a while. */
-void world_late_workers(struct world *world, void *unused);
+/* Makes some workers late for a while. */
+void world_delay_workers(struct world *world, void *unused);
 
-/* What a late worker does to an order. */
-struct world_lateness {
-    bool resets;         /* the connection is reset: nothing is done */
-    unsigned one_way_ms; /* beside the usual */
+/* How a late worker treats an order. */
+struct world_worker_delay {
+    bool resets; /* the connection, so that nothing is carried out */
+    unsigned added_one_way_ms; /* to the usual delay */
 };
-struct world_lateness world_lateness(struct world *world, const char *worker);
-bool world_resets(const struct world *world, const char *worker);
+
+/* How the worker treats an order now; all 0 if it is not late. */
+struct world_worker_delay
+world_worker_delay(struct world *world, const char *worker);
+
+/* True if the worker resets connections now. */
+bool world_worker_resets(const struct world *world, const char *worker);
 
 /* ---- world_cordons.c ---- */
 
+/* An empty table of cordons. */
 GHashTable *world_cordons_new(void);
 
-/* An operator cordons a data centre, or all of them, and later withdraws
- * that. */
+/* Cordons a data centre, or all of them, for a while. */
 void world_cordon(struct world *world, void *unused);
 
-/* Frees what an event of an order's end holds; false if it is of another
- * kind. */
-bool world_cordons_release(const struct event *event);
+/* Frees the context of an event that ends a cordon; false if the event is of
+ * another kind. */
+bool world_cordons_free_event(const struct event *event);
 
-/* Withdraws all cordons. */
+/* Ends all cordons. */
 void world_uncordon_all(struct world *world);
 
-/* For how long the store has held a cordon of the data centre; -1: there is
+/* Time since the store acknowledged the data centre's cordon; -1: there is
  * none. */
 int64_t world_cordon_age_ms(const struct world *world, const char *dc);
 
-/* The data centre that a record of ORDERS_TOPIC cordons, by its key; NULL if
+/* The data centre that a record of COMMANDS_TOPIC cordons, by its key; NULL if
  * it is of another kind.  Borrowed from `key`. */
 const char *world_cordoned_dc(const char *key);
 
 /* ---- world_waits.c ---- */
 
-/* Judges whether jobs could run and do not; to be called regularly. */
-void world_look_for_waits(struct world *world);
+/* Checks for jobs that could run and do not; to be called regularly. */
+void world_check_waits(struct world *world);
 
-/* True if the account and the job allow the data centre, read apart from the
- * product. */
-bool world_may_run_in(const struct world *world, const struct judge_job *job,
+/* True if the job's account and the job itself permit the data centre;
+ * independent of the product's code. */
+bool world_may_run_in(const struct world *world, const struct checker_job *job,
                       const char *dc);
 
 /* ---- world_faults.c ---- */
 
 /* Any of the workers, also one that is down. */
-struct worker_model *world_any_worker(struct world *world);
+struct worker_model *world_random_worker(struct world *world);
+
+/* Injects a random fault. */
+void world_inject_fault(struct world *world, void *unused);
 
-void world_strike(struct world *world, void *unused);
+/* Ends the faults in progress.  Drains stay; short faults (a slow store, late
+ * workers) and the time that a VM or worker is down end by themselves. */
 void world_heal_all(struct world *world, void *unused);
 
 /* ---- world.c ---- */
 
+/* Codec for the workers' reports and the operators' cordons. */
 const struct cw_codec *world_codec(void);
 
 #endif
--- a/emulator/judge.c
+++ b/emulator/judge.c
@@ -1,55 +1,55 @@
-/* The judge's books. */
+/* Checks the guarantees; see the header. */
 #include "emulator/judge.h"
 
 #include <string.h>
 
 enum {
-    CANCEL_MS = 3000,
-    /* Nothing is started later than this after a cordon was acknowledged. */
+    CANCEL_EFFECT_MS = 3000,
+    /* A cordon that the store has acknowledged takes effect within this. */
     CORDON_MS = 5000,
-    /* A task may be given up once so many workers have crashed under it. */
+    /* Crashes of workers that ran a task before the task may be given up. */
     CRASHES_TO_GIVE_UP = 2,
-    /* After so many, a task that crashes workers is started less often than
-     * so many times more. */
-    CRASHES_MOST = 3,
-    STARTS_AFTER_MOST = 3,
-    /* So long a job may have nothing running although it could. */
-    WAITS_MS = 3000,
-    /* How much longer a long task takes, and what mixes its step and index
-     * into the draw. */
-    LONG_TIMES = 7,
-    LONG_STEP = 31,
-    LONG_INDEX = 7,
+    /* After so many crashes, a task that crashes workers may be started
+     * again fewer than STARTS_AFTER_CRASHES_MAX times. */
+    CRASHES_MAX = 3,
+    STARTS_AFTER_CRASHES_MAX = 3,
+    /* Time that a job may have nothing running although it could. */
+    WAIT_MAX_MS = 3000,
+    /* Duration of a long task in multiples of the usual, and what mixes the
+     * task's step and index into the hash that selects it. */
+    LONG_TASK_FACTOR = 7,
+    HASH_STEP_FACTOR = 31,
+    HASH_INDEX_FACTOR = 7,
     PERCENT = 100
 };
 
-/* What has happened to a task. */
-struct task_truth {
-    unsigned running; /* runs on workers that live */
-    unsigned done;    /* ends that were listed as done */
+/* What workers have done with a task. */
+struct task_history {
+    unsigned running; /* runs on workers now */
+    unsigned done;    /* runs that ended as done */
     bool done_confirmed;
-    unsigned last_run; /* highest that was started */
+    unsigned last_run; /* highest run that was started */
     unsigned failed_confirmed;
-    unsigned crashes;        /* of workers, under it */
-    unsigned starts_beyond;  /* after the most crashes that are borne */
-    unsigned worked_run;     /* of a job that may be begun once: that worked */
-    bool worked_over;        /* ... and has ended, however */
-    unsigned present_run;    /* that runs now; 0 none */
-    GHashTable *failed_runs; /* of a gang: runs that were counted */
+    unsigned crashes;                 /* of workers that ran it */
+    unsigned starts_past_crash_limit; /* after CRASHES_MAX crashes */
+    unsigned worked_run;     /* of an at-most-once job: the run that worked */
+    bool worked_over;        /* ... and whether it has ended, in any way */
+    unsigned present_run;    /* run that is on a worker now; 0: none */
+    GHashTable *failed_runs; /* unused */
 };
 
-struct judge {
-    GPtrArray *jobs;   /* struct judge_job */
+struct checker {
+    GPtrArray *jobs;   /* struct checker_job */
     GHashTable *by_id; /* borrowed */
-    GHashTable *tasks; /* name -> struct task_truth */
+    GHashTable *tasks; /* name -> struct task_history, owned */
     char *violation;
-    struct judge_counts counts;
+    struct checker_counts counts;
 };
 
 static void
 job_free(gpointer data)
 {
-    struct judge_job *job = data;
+    struct checker_job *job = data;
 
     xdr_free((xdrproc_t)xdr_cw_work_spec, (char *)job->spec);
     g_free(job->spec);
@@ -58,108 +58,108 @@
 }
 
 static void
-truth_free(gpointer data)
+history_free(gpointer data)
 {
-    struct task_truth *truth = data;
+    struct task_history *history = data;
 
-    g_hash_table_unref(truth->failed_runs);
-    g_free(truth);
+    g_hash_table_unref(history->failed_runs);
+    g_free(history);
 }
 
-struct judge *
-judge_create(void)
+struct checker *
+checker_create(void)
 {
-    struct judge *judge = g_new0(struct judge, 1);
+    struct checker *checker = g_new0(struct checker, 1);
 
-    judge->jobs = g_ptr_array_new_with_free_func(job_free);
-    judge->by_id = g_hash_table_new(g_str_hash, g_str_equal);
-    judge->tasks =
-        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, truth_free);
-    return judge;
+    checker->jobs = g_ptr_array_new_with_free_func(job_free);
+    checker->by_id = g_hash_table_new(g_str_hash, g_str_equal);
+    checker->tasks =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, history_free);
+    return checker;
 }
 
 void
-judge_free(struct judge *judge)
+checker_free(struct checker *checker)
 {
-    g_hash_table_unref(judge->tasks);
-    g_hash_table_unref(judge->by_id);
-    g_ptr_array_unref(judge->jobs);
-    g_free(judge->violation);
-    g_free(judge);
+    g_hash_table_unref(checker->tasks);
+    g_hash_table_unref(checker->by_id);
+    g_ptr_array_unref(checker->jobs);
+    g_free(checker->violation);
+    g_free(checker);
 }
 
 static void
-violate(struct judge *judge, const char *rule, const char *what)
+violate(struct checker *checker, const char *rule, const char *what)
 {
-    if (judge->violation == NULL) {
-        judge->violation = g_strdup_printf("%s: %s", rule, what);
+    if (checker->violation == NULL) {
+        checker->violation = g_strdup_printf("%s: %s", rule, what);
     }
 }
 
 static void
-violate_task(struct judge *judge, const char *rule,
+violate_task(struct checker *checker, const char *rule,
              const struct cw_task_name *task, unsigned run)
 {
     char *what =
         g_strdup_printf("%s.%u.%u.%u run %u", task->job, task->occurrence,
                         task->step, task->index, run);
 
-    violate(judge, rule, what);
+    violate(checker, rule, what);
     g_free(what);
 }
 
-struct judge_job *
-judge_add(struct judge *judge, struct cw_work_spec *spec, unsigned work_ms,
-          unsigned fails)
+struct checker_job *
+checker_add_job(struct checker *checker, struct cw_work_spec *spec,
+                unsigned work_ms, unsigned fails)
 {
-    struct judge_job *job = g_new0(struct judge_job, 1);
+    struct checker_job *job = g_new0(struct checker_job, 1);
 
     job->id = g_strdup(spec->id);
     job->spec = spec;
     job->plan_work_ms = work_ms;
     job->plan_fails = fails;
-    job->plan_crashes = -1;
+    job->plan_crashing_task = -1;
     job->refused = true;
-    g_ptr_array_add(judge->jobs, job);
-    g_hash_table_insert(judge->by_id, job->id, job);
-    judge->counts.jobs++;
+    g_ptr_array_add(checker->jobs, job);
+    g_hash_table_insert(checker->by_id, job->id, job);
+    checker->counts.jobs++;
     return job;
 }
 
-struct judge_job *
-judge_find(struct judge *judge, const char *id)
+struct checker_job *
+checker_find_job(struct checker *checker, const char *id)
 {
-    return g_hash_table_lookup(judge->by_id, id);
+    return g_hash_table_lookup(checker->by_id, id);
 }
 
 GPtrArray *
-judge_jobs(struct judge *judge)
+checker_jobs(struct checker *checker)
 {
-    return judge->jobs;
+    return checker->jobs;
 }
 
-static struct task_truth *
-truth_of(struct judge *judge, const struct cw_task_name *task)
+static struct task_history *
+history_of(struct checker *checker, const struct cw_task_name *task)
 {
     char *name = g_strdup_printf("%s.%u.%u.%u", task->job, task->occurrence,
                                  task->step, task->index);
-    struct task_truth *truth = g_hash_table_lookup(judge->tasks, name);
+    struct task_history *history = g_hash_table_lookup(checker->tasks, name);
 
-    if (truth == NULL) {
-        truth = g_new0(struct task_truth, 1);
-        truth->failed_runs = g_hash_table_new(NULL, NULL);
-        g_hash_table_insert(judge->tasks, name, truth);
+    if (history == NULL) {
+        history = g_new0(struct task_history, 1);
+        history->failed_runs = g_hash_table_new(NULL, NULL);
+        g_hash_table_insert(checker->tasks, name, history);
     }
     else {
         g_free(name);
     }
-    return truth;
+    return history;
 }
 
 static const struct cw_step_spec *
-step_of(struct judge *judge, const struct cw_task_name *task)
+step_of(struct checker *checker, const struct cw_task_name *task)
 {
-    const struct judge_job *job = judge_find(judge, task->job);
+    const struct checker_job *job = checker_find_job(checker, task->job);
 
     if (job == NULL || task->step >= job->spec->steps.steps_len ||
         task->index >= job->spec->steps.steps_val[task->step].tasks)
@@ -171,36 +171,37 @@
 
 /* True if the task is the one of its job that crashes workers. */
 static bool
-crashes_workers(const struct judge_job *job, const struct cw_task_name *task)
+crashes_workers(const struct checker_job *job, const struct cw_task_name *task)
 {
-    return task->step == 0 && (int)task->index == job->plan_crashes;
+    return task->step == 0 && (int)task->index == job->plan_crashing_task;
 }
 
-/* Drawn from the task's name, so that all its runs are alike and the day's
- * other chances stay as they are. */
+/* True if the task is long.  Derived from its name, so that all its runs are
+ * alike and the day's other random numbers stay as they are. */
 static bool
-is_long(const struct judge_job *job, const struct cw_task_name *task)
+is_long(const struct checker_job *job, const struct cw_task_name *task)
 {
-    unsigned mark = g_str_hash(task->job) + (task->step + 1) * LONG_STEP +
-                    task->index * LONG_INDEX;
+    unsigned hash = g_str_hash(task->job) +
+                    (task->step + 1) * HASH_STEP_FACTOR +
+                    task->index * HASH_INDEX_FACTOR;
 
-    return mark % PERCENT < job->plan_tails;
+    return hash % PERCENT < job->plan_tail_percent;
 }
 
 bool
-judge_plan(struct judge *judge, const struct cw_task_name *task,
-           struct task_plan *out)
+checker_task_plan(struct checker *checker, const struct cw_task_name *task,
+                  struct task_plan *out)
 {
-    const struct cw_step_spec *step = step_of(judge, task);
-    const struct judge_job *job = judge_find(judge, task->job);
+    const struct cw_step_spec *step = step_of(checker, task);
+    const struct checker_job *job = checker_find_job(checker, task->job);
 
     if (step == NULL) {
-        violate_task(judge, "UNASKED", task, 0);
+        violate_task(checker, "UNASKED", task, 0);
         return false;
     }
     out->work_ms = job->plan_work_ms;
     if (is_long(job, task)) {
-        out->work_ms *= LONG_TIMES;
+        out->work_ms *= LONG_TASK_FACTOR;
     }
     out->fails = job->plan_fails;
     out->members = step->gang ? step->tasks : 0;
@@ -212,10 +213,10 @@
     return true;
 }
 
-/* True if the step's tasks have ended as done; one end stands for a whole
- * gang. */
+/* True if the step's tasks have ended as done; for a gang, the end of one
+ * member counts for all. */
 static bool
-step_done(struct judge *judge, const struct judge_job *job,
+step_done(struct checker *checker, const struct checker_job *job,
           unsigned occurrence, unsigned number)
 {
     const struct cw_step_spec *step = &job->spec->steps.steps_val[number];
@@ -224,189 +225,197 @@
     unsigned done = 0;
 
     for (name.index = 0; name.index < step->tasks; name.index++) {
-        done += truth_of(judge, &name)->done > 0;
+        done += history_of(checker, &name)->done > 0;
     }
     return step->gang ? done > 0 : done == step->tasks;
 }
 
-/* True if the steps before are done. */
+/* True if the steps that the task's step comes after are done. */
 static bool
-earlier_done(struct judge *judge, const struct cw_task_name *task)
+earlier_done(struct checker *checker, const struct cw_task_name *task)
 {
-    const struct judge_job *job = judge_find(judge, task->job);
-    const struct cw_step_spec *step = step_of(judge, task);
+    const struct checker_job *job = checker_find_job(checker, task->job);
+    const struct cw_step_spec *step = step_of(checker, task);
 
     for (u_int i = 0; i < step->after.after_len; i++) {
-        if (!step_done(judge, job, task->occurrence, step->after.after_val[i]))
-        {
+        if (!step_done(checker, job, task->occurrence,
+                       step->after.after_val[i])) {
             return false;
         }
     }
     return true;
 }
 
-/* True if the run works from now on: a gang's only once all are present. */
+/* True if the run works from now on: a gang works only once all its members
+ * are on workers. */
 static bool
-works_now(struct judge *judge, const struct cw_task_name *task, unsigned run)
+works_now(struct checker *checker, const struct cw_task_name *task,
+          unsigned run)
 {
-    const struct cw_step_spec *step = step_of(judge, task);
+    const struct cw_step_spec *step = step_of(checker, task);
     struct cw_task_name name = *task;
 
     for (name.index = 0; step->gang && name.index < step->tasks; name.index++)
     {
-        if (truth_of(judge, &name)->present_run != run) {
+        if (history_of(checker, &name)->present_run != run) {
             return false;
         }
     }
     return true;
 }
 
-/* A job that must not be begun a second time. */
+/* Checks that an at-most-once job does not begin its work a second time. */
 static void
-check_once(struct judge *judge, const struct cw_task_name *task, unsigned run)
+check_at_most_once(struct checker *checker, const struct cw_task_name *task,
+                   unsigned run)
 {
-    const struct judge_job *job = judge_find(judge, task->job);
+    const struct checker_job *job = checker_find_job(checker, task->job);
     struct cw_task_name first = *task;
-    struct task_truth *truth;
+    struct task_history *history;
 
-    if (!job->spec->once || !works_now(judge, task, run)) {
+    if (!job->spec->once || !works_now(checker, task, run)) {
         return;
     }
-    if (step_of(judge, task)->gang) {
-        first.index = 0; /* stands for the gang */
+    if (step_of(checker, task)->gang) {
+        first.index = 0; /* its history counts for the gang */
     }
-    truth = truth_of(judge, &first);
-    if (truth->worked_over ||
-        (truth->worked_run != 0 && truth->worked_run != run)) {
-        violate_task(judge, "ONCE begun a second time", task, run);
+    history = history_of(checker, &first);
+    if (history->worked_over ||
+        (history->worked_run != 0 && history->worked_run != run))
+    {
+        violate_task(checker, "ONCE started a second time", task, run);
     }
-    truth->worked_run = run;
+    history->worked_run = run;
 }
 
 void
-judge_misplaced(struct judge *judge, const struct cw_task_name *task,
-                unsigned run)
+checker_misplaced(struct checker *checker, const struct cw_task_name *task,
+                  unsigned run)
 {
-    violate_task(judge, "PLACE its data may not live there", task, run);
+    violate_task(checker, "PLACE its data may not be in this data centre",
+                 task, run);
 }
 
 void
-judge_started_in_cordon(struct judge *judge, const struct cw_task_name *task,
-                        unsigned run, int64_t age_ms)
+checker_started_in_cordon(struct checker *checker,
+                          const struct cw_task_name *task, unsigned run,
+                          int64_t age_ms)
 {
     if (age_ms > CORDON_MS) {
-        violate_task(judge, "CORDON its data centre takes no new work", task,
+        violate_task(checker, "CORDON started in a cordoned data centre", task,
                      run);
     }
 }
 
 void
-judge_started(struct judge *judge, const struct cw_task_name *task,
-              unsigned run, int64_t now_ms, bool calm)
+checker_started(struct checker *checker, const struct cw_task_name *task,
+                unsigned run, int64_t now_ms, bool calm)
 {
-    struct task_truth *truth = truth_of(judge, task);
-    struct judge_job *job = judge_find(judge, task->job);
+    struct task_history *history = history_of(checker, task);
+    struct checker_job *job = checker_find_job(checker, task->job);
 
-    judge->counts.starts++;
+    checker->counts.starts++;
     job->started++;
     job->running++;
-    if (truth->running > 0) {
-        violate_task(judge, "TWICE at the same time", task, run);
+    if (history->running > 0) {
+        violate_task(checker, "TWICE at the same time", task, run);
     }
-    truth->running++;
-    if (truth->done_confirmed) {
-        violate_task(judge, "TWICE after its confirmed end", task, run);
+    history->running++;
+    if (history->done_confirmed) {
+        violate_task(checker, "TWICE after its confirmed end", task, run);
     }
-    truth->last_run = MAX(truth->last_run, run);
-    truth->present_run = run;
-    check_once(judge, task, run);
-    if (truth->failed_confirmed >= job->spec->max_attempts) {
-        violate_task(judge, "BUDGET", task, run);
+    history->last_run = MAX(history->last_run, run);
+    history->present_run = run;
+    check_at_most_once(checker, task, run);
+    if (history->failed_confirmed >= job->spec->max_attempts) {
+        violate_task(checker, "BUDGET", task, run);
     }
-    if (crashes_workers(job, task) && truth->crashes >= CRASHES_MOST &&
-        ++truth->starts_beyond >= STARTS_AFTER_MOST)
+    if (crashes_workers(job, task) && history->crashes >= CRASHES_MAX &&
+        ++history->starts_past_crash_limit >= STARTS_AFTER_CRASHES_MAX)
     {
-        violate_task(judge, "BUDGET crashes", task, run);
+        violate_task(checker, "BUDGET crashes", task, run);
     }
-    if (!earlier_done(judge, task)) {
-        violate_task(judge, "ORDER", task, run);
+    if (!earlier_done(checker, task)) {
+        violate_task(checker, "ORDER", task, run);
     }
-    if (calm && job->cancel_done && now_ms > job->cancel_ms + CANCEL_MS) {
-        violate_task(judge, "UNASKED after its cancellation", task, run);
+    if (calm && job->cancel_done && now_ms > job->cancel_ms + CANCEL_EFFECT_MS)
+    {
+        violate_task(checker, "UNASKED after its cancellation", task, run);
     }
 }
 
-/* The same run may be begun anew by a worker that has started again. */
+/* Records that the run which worked has ended.  Without this, the same run
+ * could be started a second time by a worker that has restarted. */
 static void
-note_once_over(struct judge *judge, const struct cw_task_name *task,
-               unsigned run)
+mark_at_most_once_over(struct checker *checker,
+                       const struct cw_task_name *task, unsigned run)
 {
     struct cw_task_name first = *task;
-    struct task_truth *truth;
+    struct task_history *history;
 
-    if (step_of(judge, task)->gang) {
+    if (step_of(checker, task)->gang) {
         first.index = 0;
     }
-    truth = truth_of(judge, &first);
-    truth->worked_over = truth->worked_over || truth->worked_run == run;
+    history = history_of(checker, &first);
+    history->worked_over = history->worked_over || history->worked_run == run;
 }
 
 void
-judge_ended(struct judge *judge, const struct cw_task_name *task, unsigned run,
-            enum cw_end_kind how, bool calm)
+checker_ended(struct checker *checker, const struct cw_task_name *task,
+              unsigned run, enum cw_end_kind how, bool calm)
 {
-    struct task_truth *truth = truth_of(judge, task);
+    struct task_history *history = history_of(checker, task);
 
-    if (judge_find(judge, task->job)->spec->once) {
-        note_once_over(judge, task, run);
+    if (checker_find_job(checker, task->job)->spec->once) {
+        mark_at_most_once_over(checker, task, run);
     }
-    truth->running--;
-    judge_find(judge, task->job)->running--;
-    truth->present_run = 0;
+    history->running--;
+    checker_find_job(checker, task->job)->running--;
+    history->present_run = 0;
     if (how == CW_END_KIND_DONE) {
-        truth->done++;
+        history->done++;
     }
     if (how == CW_END_KIND_GANG_INCOMPLETE && calm) {
-        violate_task(judge, "GANG", task, run);
+        violate_task(checker, "GANG", task, run);
     }
 }
 
 void
-judge_confirmed(struct judge *judge, const struct cw_task_name *task,
-                unsigned run, enum cw_end_kind how, bool lapsed)
+checker_confirmed(struct checker *checker, const struct cw_task_name *task,
+                  unsigned run, enum cw_end_kind how, bool lapsed)
 {
-    struct task_truth *truth = truth_of(judge, task);
+    struct task_history *history = history_of(checker, task);
 
     if (how == CW_END_KIND_DONE && !lapsed) {
-        truth->done_confirmed = true;
-        if (truth->last_run > run) {
-            violate_task(judge, "TWICE before its end was confirmed", task,
+        history->done_confirmed = true;
+        if (history->last_run > run) {
+            violate_task(checker, "TWICE before its end was confirmed", task,
                          run);
         }
     }
     if (how == CW_END_KIND_FAILED && !lapsed) {
-        truth->failed_confirmed++;
+        history->failed_confirmed++;
     }
 }
 
 void
-judge_crowded(struct judge *judge, const struct cw_task_name *task,
-              unsigned run)
+checker_over_capacity(struct checker *checker, const struct cw_task_name *task,
+                      unsigned run)
 {
-    violate_task(judge, "LIMIT", task, run);
+    violate_task(checker, "LIMIT", task, run);
 }
 
 void
-judge_crashed(struct judge *judge, const struct cw_task_name *task)
+checker_crashed(struct checker *checker, const struct cw_task_name *task)
 {
-    truth_of(judge, task)->crashes++;
-    judge->counts.crashes++;
+    history_of(checker, task)->crashes++;
+    checker->counts.crashes++;
 }
 
-/* True if workers have crashed under a task of the job so often that it may
- * be given up. */
+/* True if a task of the job has crashed workers so often that the job may be
+ * given up. */
 static bool
-may_be_given_up(struct judge *judge, const struct judge_job *job)
+may_be_given_up(struct checker *checker, const struct checker_job *job)
 {
     struct cw_task_name name = {.job = job->id};
 
@@ -415,7 +424,7 @@
             &job->spec->steps.steps_val[name.step];
 
         for (name.index = 0; name.index < step->tasks; name.index++) {
-            if (truth_of(judge, &name)->crashes >= CRASHES_TO_GIVE_UP) {
+            if (history_of(checker, &name)->crashes >= CRASHES_TO_GIVE_UP) {
                 return true;
             }
         }
@@ -425,10 +434,10 @@
 
 /* True if every step of the job is done. */
 static bool
-all_done(struct judge *judge, const struct judge_job *job)
+all_done(struct checker *checker, const struct checker_job *job)
 {
     for (unsigned i = 0; i < job->spec->steps.steps_len; i++) {
-        if (!step_done(judge, job, 0, i)) {
+        if (!step_done(checker, job, 0, i)) {
             return false;
         }
     }
@@ -436,54 +445,54 @@
 }
 
 void
-judge_shown(struct judge *judge, const char *id, unsigned phase)
+checker_phase_shown(struct checker *checker, const char *id, unsigned phase)
 {
-    struct judge_job *job = judge_find(judge, id);
+    struct checker_job *job = checker_find_job(checker, id);
 
     if (job == NULL) {
-        violate(judge, "MIXED a job that nobody handed in", id);
+        violate(checker, "MIXED a job that nobody submitted", id);
         return;
     }
     if (cw_work_is_over(phase)) {
-        if (job->shown_over != 0 && job->shown_over != phase) {
-            violate(judge, "MIXED two different ends", id);
+        if (job->shown_final_phase != 0 && job->shown_final_phase != phase) {
+            violate(checker, "MIXED two different final phases", id);
         }
-        job->shown_over = phase;
+        job->shown_final_phase = phase;
     }
-    if (phase == CW_WORK_COMPLETED && !all_done(judge, job)) {
-        violate(judge, "MIXED completed too early", id);
+    if (phase == CW_WORK_COMPLETED && !all_done(checker, job)) {
+        violate(checker, "MIXED completed too early", id);
     }
     if (phase == CW_WORK_CANCELLED && !job->cancel_sent) {
-        violate(judge, "LOST cancelled without cause", id);
+        violate(checker, "LOST cancelled without cause", id);
     }
     if (phase == CW_WORK_FAILED && job->plan_fails < job->spec->max_attempts &&
-        !may_be_given_up(judge, job))
+        !may_be_given_up(checker, job))
     {
-        violate(judge, "LOST failed without cause", id);
+        violate(checker, "LOST failed without cause", id);
     }
     if (phase == CW_WORK_LOST && !job->spec->once) {
-        violate(judge, "LOST given up without cause", id);
+        violate(checker, "LOST given up without cause", id);
     }
     if (phase == CW_WORK_REFUSED &&
         (job->started > 0 || job->spec->deadline_ms == 0))
     {
-        violate(judge, "REFUSED and started", id);
+        violate(checker, "REFUSED and started", id);
     }
 }
 
-/* ---- work that could run and does not ---- */
+/* ---- jobs that could run and do not ---- */
 
 const struct cw_step_spec *
-judge_step_in_turn(struct judge *judge, const struct judge_job *job)
+checker_ready_step(struct checker *checker, const struct checker_job *job)
 {
     struct cw_task_name name = {.job = job->id};
 
-    if (!job->accepted || job->cancel_sent || job->shown_over != 0) {
+    if (!job->accepted || job->cancel_sent || job->shown_final_phase != 0) {
         return NULL;
     }
     for (; name.step < job->spec->steps.steps_len; name.step++) {
-        if (!step_done(judge, job, 0, name.step) && earlier_done(judge, &name))
-        {
+        if (!step_done(checker, job, 0, name.step) &&
+            earlier_done(checker, &name)) {
             return &job->spec->steps.steps_val[name.step];
         }
     }
@@ -491,56 +500,60 @@
 }
 
 void
-judge_look(struct judge *judge, struct judge_job *job, bool could,
-           int64_t now_ms)
+checker_check_wait(struct checker *checker, struct checker_job *job,
+                   bool runnable, int64_t now_ms)
 {
-    if (job->running > 0 || !could) {
+    if (job->running > 0 || !runnable) {
         job->waits_since_ms = 0;
         return;
     }
-    if (job->waits_since_ms == 0 || job->waits_started != job->started) {
+    if (job->waits_since_ms == 0 || job->started_at_wait != job->started) {
         job->waits_since_ms = now_ms;
-        job->waits_started = job->started;
+        job->started_at_wait = job->started;
     }
-    if (now_ms - job->waits_since_ms >= WAITS_MS) {
-        violate(judge, "LOST could run and does not", job->id);
+    if (now_ms - job->waits_since_ms >= WAIT_MAX_MS) {
+        violate(checker, "LOST could run and does not", job->id);
     }
 }
 
 void
-judge_final(struct judge *judge, const struct judge_job *job, int phase)
+checker_final_phase(struct checker *checker, const struct checker_job *job,
+                    int phase)
 {
-    if (job->refused && !job->possible && !job->accepted && job->started > 0) {
-        violate(judge, "REFUSED", job->id);
+    if (job->refused && !job->outcome_unknown && !job->accepted &&
+        job->started > 0)
+    {
+        violate(checker, "REFUSED", job->id);
     }
     if (job->accepted && phase < 0) {
-        violate(judge, "LOST not known", job->id);
+        violate(checker, "LOST not known at the end", job->id);
     }
     if (job->accepted && phase >= 0 && !cw_work_is_over((unsigned)phase)) {
-        violate(judge, "LOST not over in quiet time", job->id);
+        violate(checker, "LOST not over at the end of the quiet time",
+                job->id);
     }
     if (job->cancel_done && phase >= 0 && !cw_work_is_over((unsigned)phase)) {
-        violate(judge, "UNASKED cancelled and not over", job->id);
+        violate(checker, "UNASKED cancelled and not over", job->id);
     }
-    judge->counts.accepted += job->accepted;
-    judge->counts.completed += phase == CW_WORK_COMPLETED;
-    judge->counts.failed += phase == CW_WORK_FAILED;
-    judge->counts.innocent += phase == CW_WORK_FAILED &&
-                              job->plan_crashes < 0 &&
-                              job->plan_fails < job->spec->max_attempts;
-    judge->counts.cancelled += phase == CW_WORK_CANCELLED;
-    judge->counts.lost += phase == CW_WORK_LOST;
-    judge->counts.refused += phase == CW_WORK_REFUSED;
+    checker->counts.accepted += job->accepted;
+    checker->counts.completed += phase == CW_WORK_COMPLETED;
+    checker->counts.failed += phase == CW_WORK_FAILED;
+    checker->counts.wrongly_failed +=
+        phase == CW_WORK_FAILED && job->plan_crashing_task < 0 &&
+        job->plan_fails < job->spec->max_attempts;
+    checker->counts.cancelled += phase == CW_WORK_CANCELLED;
+    checker->counts.lost += phase == CW_WORK_LOST;
+    checker->counts.refused += phase == CW_WORK_REFUSED;
 }
 
 const char *
-judge_violation(const struct judge *judge)
+checker_violation(const struct checker *checker)
 {
-    return judge->violation;
+    return checker->violation;
 }
 
-struct judge_counts
-judge_counts(const struct judge *judge)
+struct checker_counts
+checker_counts(const struct checker *checker)
 {
-    return judge->counts;
+    return checker->counts;
 }
--- a/emulator/store_model.c
+++ b/emulator/store_model.c
@@ -1,19 +1,23 @@
-/* The store's state machine. */
+/* Model of the store; see the header. */
 #include "emulator/store_model.h"
 
 #include <string.h>
 
 #include "curlewcart/cw_time.h"
 
-enum { RECENT_APPENDS = 5, PAGE_RECORDS = 500 };
+enum {
+    /* Appends of a writer whose repetition gets the first answer again. */
+    RECENT_APPENDS_MAX = 5,
+    PAGE_RECORDS_MAX = 500 /* of a read of newest records */
+};
 
 struct stored {
     char *key;
-    GBytes *value; /* NULL: the key is dropped */
+    GBytes *value; /* NULL: the record removes the key */
     uint64_t offset;
 };
 
-/* An append of a fenced writer, to answer its repetition. */
+/* An append of a fenced writer, kept to answer a repetition of it. */
 struct recent {
     uint64_t sequence;
     struct cw_store_append_result result;
@@ -22,30 +26,31 @@
 struct writer {
     uint64_t epoch;
     uint64_t next_sequence;
-    bool any;
+    bool has_appended;
     GQueue recent; /* struct recent */
 };
 
 struct topic {
-    GPtrArray *records; /* struct stored; from `first` on */
+    GPtrArray *records; /* struct stored, from offset `first` on */
     uint64_t first;
     uint64_t end;
-    GTree *newest;       /* key -> struct stored, borrowed or kept */
+    GTree *newest;       /* key -> struct stored, a copy */
     GHashTable *writers; /* name -> struct writer */
 };
 
 struct member {
     char *name;
     struct timespec expires;
-    uint64_t saw; /* generation it joined with last */
+    uint64_t joined_generation; /* unused */
 };
 
 struct store_model {
     GHashTable *topics;
-    GPtrArray *members; /* struct member, oldest first */
-    char *holder;       /* of partition 0 */
-    uint64_t holder_since;
-    char *wanted; /* holder to be, once the present one knows or is gone */
+    GPtrArray *members;    /* struct member, oldest first */
+    char *holder;          /* of partition 0 */
+    uint64_t holder_since; /* generation */
+    char *next_holder; /* becomes holder when the present one joins again or is
+                            gone */
     uint64_t generation;
 };
 
@@ -126,7 +131,7 @@
     g_hash_table_unref(model->topics);
     g_ptr_array_unref(model->members);
     g_free(model->holder);
-    g_free(model->wanted);
+    g_free(model->next_holder);
     g_free(model);
 }
 
@@ -161,16 +166,17 @@
     return writer;
 }
 
-/* Decides an append of a fenced writer; true if it goes on. */
+/* Checks the epoch and sequence of a fenced writer; false if the append is
+ * answered already, with `result`. */
 static bool
-admit_writer(struct writer *writer, const struct cw_store_append *call,
+check_writer(struct writer *writer, const struct cw_store_append *call,
              struct cw_store_append_result *result)
 {
-    if (writer->any && call->epoch < writer->epoch) {
+    if (writer->has_appended && call->epoch < writer->epoch) {
         result->status = CW_STORE_FENCED;
         return false;
     }
-    if (!writer->any || call->epoch > writer->epoch) {
+    if (!writer->has_appended || call->epoch > writer->epoch) {
         g_queue_clear_full(&writer->recent, g_free);
         return true;
     }
@@ -191,18 +197,18 @@
 }
 
 static void
-note_writer(struct writer *writer, const struct cw_store_append *call,
-            const struct cw_store_append_result *result)
+record_append(struct writer *writer, const struct cw_store_append *call,
+              const struct cw_store_append_result *result)
 {
     struct recent *recent = g_new0(struct recent, 1);
 
-    writer->any = true;
+    writer->has_appended = true;
     writer->epoch = call->epoch;
     writer->next_sequence = call->sequence + 1;
     recent->sequence = call->sequence;
     recent->result = *result;
     g_queue_push_tail(&writer->recent, recent);
-    if (writer->recent.length > RECENT_APPENDS) {
+    if (writer->recent.length > RECENT_APPENDS_MAX) {
         g_free(g_queue_pop_head(&writer->recent));
     }
 }
@@ -234,7 +240,7 @@
         call->writer != NULL ? writer_of(topic, call->writer) : NULL;
     struct cw_store_append_result result = {.status = CW_STORE_OK};
 
-    if (writer != NULL && !admit_writer(writer, call, &result)) {
+    if (writer != NULL && !check_writer(writer, call, &result)) {
         return result;
     }
     if (call->conditional && call->expected_end != topic->end) {
@@ -248,7 +254,7 @@
     }
     result.end = topic->end;
     if (writer != NULL) {
-        note_writer(writer, call, &result);
+        record_append(writer, call, &result);
     }
     return result;
 }
@@ -324,7 +330,7 @@
     if (walk->after != NULL && strcmp(key, walk->after) <= 0) {
         return FALSE;
     }
-    if (walk->out->records->len == PAGE_RECORDS) {
+    if (walk->out->records->len == PAGE_RECORDS_MAX) {
         walk->out->page.more = true;
         return TRUE;
     }
@@ -394,10 +400,11 @@
     }
 }
 
-/* The present holder keeps the partition until it is gone, or has joined
- * since it was dealt to another. */
+/* Assigns partition 0 if it has no holder.  A holder that loses it to another
+ * member keeps it until it joins again, and so learns of the loss, or is
+ * gone. */
 static void
-settle(struct store_model *model)
+assign_partition(struct store_model *model)
 {
     const struct member *holder =
         model->holder != NULL ? find_member(model, model->holder) : NULL;
@@ -405,22 +412,24 @@
     if (holder == NULL) {
         g_clear_pointer(&model->holder, g_free);
     }
-    if (model->wanted != NULL && find_member(model, model->wanted) == NULL) {
-        g_clear_pointer(&model->wanted, g_free);
+    if (model->next_holder != NULL &&
+        find_member(model, model->next_holder) == NULL)
+    {
+        g_clear_pointer(&model->next_holder, g_free);
     }
     if (model->holder == NULL && model->members->len > 0) {
         const struct member *first = model->members->pdata[0];
 
-        model->holder =
-            g_strdup(model->wanted != NULL ? model->wanted : first->name);
+        model->holder = g_strdup(
+            model->next_holder != NULL ? model->next_holder : first->name);
         model->holder_since = ++model->generation;
-        g_clear_pointer(&model->wanted, g_free);
+        g_clear_pointer(&model->next_holder, g_free);
     }
 }
 
 uint64_t
 store_model_join(struct store_model *model, const char *name, unsigned ttl_ms,
-                 struct timespec now, bool *held)
+                 struct timespec now, bool *assigned)
 {
     struct member *member;
 
@@ -434,12 +443,12 @@
     }
     member->expires = cw_time_add_ms(now, ttl_ms);
     if (model->holder != NULL && strcmp(model->holder, name) == 0 &&
-        model->wanted != NULL && strcmp(model->wanted, name) != 0)
+        model->next_holder != NULL && strcmp(model->next_holder, name) != 0)
     {
         g_clear_pointer(&model->holder, g_free);
     }
-    settle(model);
-    *held = model->holder != NULL && strcmp(model->holder, name) == 0;
+    assign_partition(model);
+    *assigned = model->holder != NULL && strcmp(model->holder, name) == 0;
     return model->generation;
 }
 
@@ -455,20 +464,20 @@
         g_ptr_array_remove(model->members, member);
         model->generation++;
     }
-    settle(model);
+    assign_partition(model);
 }
 
 void
-store_model_deal(struct store_model *model, unsigned choice,
-                 struct timespec now)
+store_model_reassign(struct store_model *model, unsigned choice,
+                     struct timespec now)
 {
     expire(model, now);
     if (model->members->len > 0) {
         const struct member *member =
             model->members->pdata[choice % model->members->len];
 
-        g_free(model->wanted);
-        model->wanted = g_strdup(member->name);
+        g_free(model->next_holder);
+        model->next_holder = g_strdup(member->name);
         model->generation++;
     }
 }
--- a/emulator/worker_model.c
+++ b/emulator/worker_model.c
@@ -1,32 +1,33 @@
-/* The workers' state machine. */
+/* Model of the workers; see the header. */
 #include "emulator/worker_model.h"
 
 #include <string.h>
 
 enum {
-    STOP_MS = 150,
-    GANG_WAIT_MS = 3000,
-    CHECKPOINT_MS = 500,
-    LEASE_MOST_MS = 6000,
+    STOP_MS = 150,       /* that a run takes to stop */
+    GANG_WAIT_MS = 3000, /* for the other members of a gang */
+    CHECKPOINT_MS = 500, /* of work between two checkpoints */
+    LEASE_MAX_MS = 6000,
     ENDS_LISTED_MAX = 500,
-    /* From the start of a task that crashes workers to the crash: its start
-     * is answered before. */
+    /* From the start of a task that crashes workers to the crash; long enough
+     * for the answer to the start. */
     CRASH_AFTER_MS = 10,
-    /* A room that has shrunk counts so long after: three seconds to hear of
-     * it, and one beat of the workers. */
-    SHRUNK_COUNTS_MS = 4500,
+    /* Time after a worker has shrunk in which starts may still use the
+     * capacity before: three seconds until a VM receives the report, and one
+     * interval between two reports. */
+    OLD_CAPACITY_COUNTS_MS = 4500,
     PERCENT = 100
 };
 
 struct model_run {
     char *job;
     struct cw_task_name task;
-    unsigned run;
+    unsigned run; /* number of the run */
     struct task_plan plan;
     int64_t started_ms;
-    double done_ms;  /* work done, of plan.work_ms */
-    int64_t stop_ms; /* when a stop takes effect; 0 none */
-    bool whole;      /* its gang is complete */
+    double work_done_ms; /* of plan.work_ms */
+    int64_t stop_ms;     /* when a stop takes effect; 0: none */
+    bool gang_complete;  /* all members have been present */
 };
 
 struct model_end {
@@ -36,7 +37,7 @@
     unsigned run;
     enum cw_end_kind how;
     char *saved;
-    unsigned lapses; /* of the worker's lease before it */
+    unsigned lease_lapses; /* of the worker before this end */
 };
 
 struct worker_model {
@@ -45,28 +46,29 @@
     char *address;
     char *rack;
     struct cw_resources capacity;
-    struct cw_resources larger; /* what it had before it shrank */
-    int64_t shrunk_ms;          /* when it shrank; fleet's time */
-    int64_t clock_ms;           /* its clock at time 0 of the fleet's */
-    int64_t boot_ms;            /* when this life began, its time of day */
-    bool dead;
+    struct cw_resources capacity_before; /* before the last resize */
+    int64_t shrunk_ms;                   /* of the last resize; fleet's time */
+    int64_t clock_ms;                    /* its clock at the fleet's time 0 */
+    int64_t boot_ms; /* wall clock at the start of the incarnation */
+    bool is_down;
     double speed;
-    uint64_t fence;
+    uint64_t fence;       /* highest fencing token received */
     int64_t lease_end_ms; /* fleet's time */
-    bool lease_live;
-    unsigned lapses; /* times that its lease was over */
-    GPtrArray *runs; /* struct model_run */
-    GPtrArray *ends; /* struct model_end */
+    bool lease_active;
+    unsigned lease_lapses; /* times that its lease expired */
+    GPtrArray *runs;       /* struct model_run */
+    GPtrArray *ends;       /* struct model_end */
     uint64_t next_end;
-    GHashTable *highest; /* task's name -> highest run ended or stopped */
+    GHashTable *highest_run; /* task's name -> highest run that ended or was
+                                stopped */
 };
 
 struct worker_fleet {
     struct worker_listener listener;
     GPtrArray *workers;
     int64_t now_ms;
-    int64_t began_ms; /* time of day at time 0 */
-    bool unguarded;
+    int64_t wall_clock_base_ms; /* wall-clock time at time 0 */
+    bool ignores_capacity;
 };
 
 static char *
@@ -102,7 +104,7 @@
 
     g_ptr_array_unref(worker->runs);
     g_ptr_array_unref(worker->ends);
-    g_hash_table_unref(worker->highest);
+    g_hash_table_unref(worker->highest_run);
     g_free(worker->id);
     g_free(worker->address);
     g_free(worker->rack);
@@ -127,16 +129,16 @@
 }
 
 void
-worker_fleet_set_day(struct worker_fleet *fleet, int64_t began_ms)
+worker_fleet_set_day(struct worker_fleet *fleet, int64_t wall_clock_base_ms)
 {
-    fleet->began_ms = began_ms;
+    fleet->wall_clock_base_ms = wall_clock_base_ms;
 }
 
-/* When a life begins that begins now: 0 would be unknown. */
+/* Boot time of an incarnation that starts now; not 0, which means unknown. */
 static int64_t
-born_now_ms(const struct worker_fleet *fleet)
+boot_time_now_ms(const struct worker_fleet *fleet)
 {
-    return fleet->began_ms + fleet->now_ms + 1;
+    return fleet->wall_clock_base_ms + fleet->now_ms + 1;
 }
 
 struct worker_model *
@@ -151,11 +153,11 @@
     worker->rack = g_strdup(rack);
     worker->capacity = *capacity;
     worker->clock_ms = clock_ms;
-    worker->boot_ms = born_now_ms(fleet);
+    worker->boot_ms = boot_time_now_ms(fleet);
     worker->speed = 1;
     worker->runs = g_ptr_array_new_with_free_func(run_free);
     worker->ends = g_ptr_array_new_with_free_func(end_free);
-    worker->highest =
+    worker->highest_run =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     g_ptr_array_add(fleet->workers, worker);
     return worker;
@@ -178,17 +180,17 @@
 void
 worker_model_restart(struct worker_model *worker, int64_t clock_ms)
 {
-    g_assert(worker->dead && worker->runs->len == 0);
-    worker->dead = false;
+    g_assert(worker->is_down && worker->runs->len == 0);
+    worker->is_down = false;
     worker->clock_ms = clock_ms - worker->fleet->now_ms;
-    worker->boot_ms = born_now_ms(worker->fleet);
+    worker->boot_ms = boot_time_now_ms(worker->fleet);
     worker->fence = 0;
     worker->lease_end_ms = 0;
-    worker->lease_live = false;
-    worker->lapses = 0;
+    worker->lease_active = false;
+    worker->lease_lapses = 0;
     worker->next_end = 0;
     g_ptr_array_set_size(worker->ends, 0);
-    g_hash_table_remove_all(worker->highest);
+    g_hash_table_remove_all(worker->highest_run);
 }
 
 unsigned
@@ -222,7 +224,7 @@
     for (guint i = 0; i < fleet->workers->len; i++) {
         struct worker_model *worker = fleet->workers->pdata[i];
 
-        if (!worker->dead && strcmp(worker->address, address) == 0) {
+        if (!worker->is_down && strcmp(worker->address, address) == 0) {
             return worker;
         }
     }
@@ -254,31 +256,32 @@
 }
 
 void
-worker_fleet_unguard(struct worker_fleet *fleet)
+worker_fleet_ignore_capacity(struct worker_fleet *fleet)
 {
-    fleet->unguarded = true;
+    fleet->ignores_capacity = true;
 }
 
 static bool
-shrank_lately(const struct worker_model *worker)
+shrank_recently(const struct worker_model *worker)
 {
-    return worker->larger.accelerators > 0 &&
-           worker->fleet->now_ms - worker->shrunk_ms < SHRUNK_COUNTS_MS;
+    return worker->capacity_before.accelerators > 0 &&
+           worker->fleet->now_ms - worker->shrunk_ms < OLD_CAPACITY_COUNTS_MS;
 }
 
 void
 worker_model_resize(struct worker_model *worker,
                     const struct cw_resources *capacity)
 {
-    const struct cw_resources *larger = &worker->capacity;
+    const struct cw_resources *capacity_before = &worker->capacity;
 
-    /* One that has shrunk a moment ago still counts as what it was. */
-    if (shrank_lately(worker) &&
-        worker->larger.accelerators > larger->accelerators)
+    /* Shortly after a resize, the capacity before it still counts if it was
+     * larger. */
+    if (shrank_recently(worker) &&
+        worker->capacity_before.accelerators > capacity_before->accelerators)
     {
-        larger = &worker->larger;
+        capacity_before = &worker->capacity_before;
     }
-    worker->larger = *larger;
+    worker->capacity_before = *capacity_before;
     worker->shrunk_ms = worker->fleet->now_ms;
     worker->capacity = *capacity;
 }
@@ -313,7 +316,7 @@
 bool
 worker_model_dead(const struct worker_model *worker)
 {
-    return worker->dead;
+    return worker->is_down;
 }
 
 void
@@ -327,7 +330,7 @@
 static char *
 saved_of(const struct model_run *run)
 {
-    int64_t done = (int64_t)run->done_ms;
+    int64_t done = (int64_t)run->work_done_ms;
 
     if (!run->plan.checkpoints || done < CHECKPOINT_MS) {
         return g_strdup("");
@@ -337,14 +340,14 @@
 }
 
 static void
-note_highest(struct worker_model *worker, const struct cw_task_name *task,
-             unsigned run)
+record_highest_run(struct worker_model *worker,
+                   const struct cw_task_name *task, unsigned run)
 {
     char *name = name_text(task);
     unsigned before =
-        GPOINTER_TO_UINT(g_hash_table_lookup(worker->highest, name));
+        GPOINTER_TO_UINT(g_hash_table_lookup(worker->highest_run, name));
 
-    g_hash_table_insert(worker->highest, name,
+    g_hash_table_insert(worker->highest_run, name,
                         GUINT_TO_POINTER(MAX(before, run)));
 }
 
@@ -362,15 +365,15 @@
     end->run = run->run;
     end->how = how;
     end->saved = saved_of(run);
-    end->lapses = worker->lapses;
-    note_highest(worker, &end->task, end->run);
+    end->lease_lapses = worker->lease_lapses;
+    record_highest_run(worker, &end->task, end->run);
     g_ptr_array_remove(worker->runs, run);
     g_ptr_array_add(worker->ends, end);
     listener->ended(listener->context, worker->id, &end->task, end->run, how);
 }
 
 static void
-lapse_all(struct worker_model *worker)
+expire_all_runs(struct worker_model *worker)
 {
     while (worker->runs->len > 0) {
         end_run(worker, worker->runs->pdata[0], CW_END_KIND_LEASE_EXPIRED);
@@ -387,8 +390,8 @@
 
         listener->crashed(listener->context, worker->id, &run->task);
     }
-    worker->dead = true;
-    lapse_all(worker);
+    worker->is_down = true;
+    expire_all_runs(worker);
 }
 
 /* ---- gangs ---- */
@@ -418,7 +421,7 @@
 
 /* True if every member of the gang has done its work. */
 static bool
-gang_has_done(struct worker_fleet *fleet, const struct model_run *run)
+gang_work_is_done(struct worker_fleet *fleet, const struct model_run *run)
 {
     for (guint w = 0; w < fleet->workers->len; w++) {
         struct worker_model *worker = fleet->workers->pdata[w];
@@ -426,8 +429,8 @@
         for (guint i = 0; i < worker->runs->len; i++) {
             const struct model_run *other = worker->runs->pdata[i];
 
-            if (same_gang(other, run) && other->done_ms < other->plan.work_ms)
-            {
+            if (same_gang(other, run) &&
+                other->work_done_ms < other->plan.work_ms) {
                 return false;
             }
         }
@@ -458,7 +461,7 @@
 
 /* ---- time ---- */
 
-/* Ends the run if its time has come; true if it did. */
+/* Advances a run; true if it has ended. */
 static bool
 advance_run(struct worker_model *worker, struct model_run *run,
             int64_t passed_ms)
@@ -480,21 +483,22 @@
         g_free(job);
         return true;
     }
-    if (gang && !run->whole) {
-        run->whole = gang_present(fleet, run) == run->plan.members;
-        if (!run->whole && fleet->now_ms - run->started_ms > GANG_WAIT_MS) {
+    if (gang && !run->gang_complete) {
+        run->gang_complete = gang_present(fleet, run) == run->plan.members;
+        if (!run->gang_complete &&
+            fleet->now_ms - run->started_ms > GANG_WAIT_MS) {
             end_run(worker, run, CW_END_KIND_GANG_INCOMPLETE);
             return true;
         }
         return false;
     }
-    run->done_ms += (double)passed_ms * worker->speed;
-    if (run->done_ms < run->plan.work_ms) {
+    run->work_done_ms += (double)passed_ms * worker->speed;
+    if (run->work_done_ms < run->plan.work_ms) {
         return false;
     }
-    run->done_ms = run->plan.work_ms;
+    run->work_done_ms = run->plan.work_ms;
     if (gang && how == CW_END_KIND_DONE) {
-        if (!gang_has_done(fleet, run)) {
+        if (!gang_work_is_done(fleet, run)) {
             return false;
         }
         end_gang(fleet, run, CW_END_KIND_DONE);
@@ -516,10 +520,11 @@
 static bool
 lease_is_over(const struct worker_model *worker)
 {
-    return worker->lease_live && worker->fleet->now_ms > worker->lease_end_ms;
+    return worker->lease_active &&
+           worker->fleet->now_ms > worker->lease_end_ms;
 }
 
-/* True if a task there brings the worker down now. */
+/* True if a task on the worker crashes it now. */
 static bool
 crash_is_due(const struct worker_model *worker)
 {
@@ -553,18 +558,18 @@
         crash_by_task(worker);
         return;
     }
-    /* An idle worker notices only when it is next called. */
+    /* An idle worker notices an expired lease only with the next order. */
     if (worker->runs->len > 0 && lease_is_over(worker)) {
-        lapse_all(worker);
-        worker->lease_live = false;
-        worker->lapses++;
+        expire_all_runs(worker);
+        worker->lease_active = false;
+        worker->lease_lapses++;
     }
     while (i < worker->runs->len) {
         if (!advance_run(worker, worker->runs->pdata[i], passed_ms)) {
             i++;
         }
         else {
-            i = 0; /* a gang's end may have taken others */
+            i = 0; /* the end of a gang may have ended other runs */
             passed_ms = 0;
         }
     }
@@ -582,7 +587,7 @@
     for (guint i = 0; i < fleet->workers->len; i++) {
         struct worker_model *worker = fleet->workers->pdata[i];
 
-        if (!worker->dead) {
+        if (!worker->is_down) {
             advance_worker(worker, passed_ms);
         }
     }
@@ -596,18 +601,19 @@
     return worker->clock_ms + worker->fleet->now_ms;
 }
 
-/* Extends the lease, which never shortens; false if it is over already. */
+/* Extends the lease; an end that is earlier changes nothing.  False if the
+ * lease is over. */
 static bool
-take_lease(struct worker_model *worker, int64_t until_ms)
+extend_lease(struct worker_model *worker, int64_t until_ms)
 {
     int64_t end_ms = until_ms - worker->clock_ms;
 
-    end_ms = MIN(end_ms, worker->fleet->now_ms + LEASE_MOST_MS);
+    end_ms = MIN(end_ms, worker->fleet->now_ms + LEASE_MAX_MS);
     if (lease_is_over(worker) && end_ms <= worker->fleet->now_ms) {
-        worker->lapses++; /* an extension in time would have hidden it */
+        worker->lease_lapses++; /* a valid extension would hide the lapse */
     }
     worker->lease_end_ms = MAX(worker->lease_end_ms, end_ms);
-    worker->lease_live = worker->lease_end_ms > worker->fleet->now_ms;
+    worker->lease_active = worker->lease_end_ms > worker->fleet->now_ms;
     return worker->lease_end_ms > worker->fleet->now_ms;
 }
 
@@ -628,8 +634,8 @@
 }
 
 static bool
-has_room(const struct worker_model *worker, const struct cw_resources *need,
-         const struct cw_resources *capacity)
+fits(const struct worker_model *worker, const struct cw_resources *need,
+     const struct cw_resources *capacity)
 {
     struct cw_resources used = *need;
 
@@ -645,12 +651,15 @@
            used.accelerators <= capacity->accelerators;
 }
 
-/* True if the start brings the worker over what it had a moment ago too. */
+/* True if the start exceeds the worker's capacity, and also the capacity that
+ * it had shortly before. */
 static bool
-is_crowded(const struct worker_model *worker, const struct cw_resources *need)
+exceeds_capacity(const struct worker_model *worker,
+                 const struct cw_resources *need)
 {
-    return !has_room(worker, need, &worker->capacity) &&
-           !(shrank_lately(worker) && has_room(worker, need, &worker->larger));
+    return !fits(worker, need, &worker->capacity) &&
+           !(shrank_recently(worker) &&
+             fits(worker, need, &worker->capacity_before));
 }
 
 static enum cw_target_status
@@ -660,30 +669,30 @@
     struct model_run *run = find_run(worker, &order->task);
     struct task_plan plan = {0};
     char *name = name_text(&order->task);
-    unsigned highest =
-        GPOINTER_TO_UINT(g_hash_table_lookup(worker->highest, name));
+    unsigned highest_run =
+        GPOINTER_TO_UINT(g_hash_table_lookup(worker->highest_run, name));
 
     g_free(name);
     if (run != NULL && run->run == order->run) {
         return CW_TARGET_OK;
     }
-    if (order->run <= highest || run != NULL) {
+    if (order->run <= highest_run || run != NULL) {
         return CW_TARGET_OLD_RUN;
     }
     if (!listener->plan(listener->context, &order->task, &plan)) {
         return CW_TARGET_INVALID;
     }
-    if (!take_lease(worker, order->lease_until_ms)) {
+    if (!extend_lease(worker, order->lease_until_ms)) {
         return CW_TARGET_LATE;
     }
-    if (!worker->fleet->unguarded &&
-        !has_room(worker, &plan.need, &worker->capacity))
+    if (!worker->fleet->ignores_capacity &&
+        !fits(worker, &plan.need, &worker->capacity))
     {
         return CW_TARGET_NO_CAPACITY;
     }
-    if (is_crowded(worker, &plan.need)) {
-        listener->crowded(listener->context, worker->id, &order->task,
-                          order->run);
+    if (exceeds_capacity(worker, &plan.need)) {
+        listener->over_capacity(listener->context, worker->id, &order->task,
+                                order->run);
     }
     run = g_new0(struct model_run, 1);
     run->job = g_strdup(order->task.job);
@@ -693,7 +702,8 @@
     run->plan = plan;
     run->started_ms = worker->fleet->now_ms;
     if (order->saved != NULL && g_str_has_prefix(order->saved, "ck-")) {
-        run->done_ms = (double)g_ascii_strtoll(order->saved + 3, NULL, 10);
+        run->work_done_ms =
+            (double)g_ascii_strtoll(order->saved + 3, NULL, 10);
     }
     g_ptr_array_add(worker->runs, run);
     listener->started(listener->context, worker->id, &run->task, run->run);
@@ -705,7 +715,7 @@
 {
     struct model_run *run = find_run(worker, &order->task);
 
-    note_highest(worker, &order->task, order->run);
+    record_highest_run(worker, &order->task, order->run);
     if (run != NULL && run->run <= order->run && run->stop_ms == 0) {
         run->stop_ms = worker->fleet->now_ms + STOP_MS;
     }
@@ -724,7 +734,8 @@
             return;
         }
         listener->confirmed(listener->context, worker->id, &end->task,
-                            end->run, end->how, end->lapses != worker->lapses);
+                            end->run, end->how,
+                            end->lease_lapses != worker->lease_lapses);
         g_ptr_array_remove_index(worker->ends, 0);
     }
 }
@@ -743,8 +754,8 @@
         g_ptr_array_add(texts, saved);
         row.task.job = job;
         row.saved = saved;
-        row.percent =
-            (unsigned)(run->done_ms * PERCENT / MAX(1, run->plan.work_ms));
+        row.percent = (unsigned)(run->work_done_ms * PERCENT /
+                                 MAX(1, run->plan.work_ms));
         g_array_append_val(running, row);
     }
     for (guint i = 0; i < worker->ends->len && i < ENDS_LISTED_MAX; i++) {
@@ -790,7 +801,7 @@
         answer->status = order_stop(worker, order);
         return;
     }
-    (void)take_lease(worker, order->lease_until_ms);
+    (void)extend_lease(worker, order->lease_until_ms);
     confirm_ends(worker, order->acked);
     list_runs(worker, running, ended, texts);
     answer->status = CW_TARGET_OK;
--- a/emulator/worker_model.h
+++ b/emulator/worker_model.h
@@ -1,8 +1,9 @@
-/* Workers as a pure state machine: runs under leases and fencing tokens,
- * gangs, checkpoints, lists of ends that stay until they are confirmed.
+/* Model of the workers as a pure state machine: runs under leases and fencing
+ * tokens, gangs, checkpoints, and lists of ends that stay until they are
+ * confirmed.
  *
- * What a run does is in its task's plan: how long it takes and how many of
- * its runs fail first. */
+ * The plan of a task says how long a run works and how many of its runs
+ * fail. */
 #ifndef CURLEWCART_EMULATOR_WORKER_MODEL_H
 #define CURLEWCART_EMULATOR_WORKER_MODEL_H
 
@@ -15,19 +16,19 @@
 struct worker_fleet;
 struct worker_model;
 
-/* What a task is, as the model has to know it. */
+/* What the model has to know of a task. */
 struct task_plan {
     unsigned work_ms;
-    unsigned fails;   /* so many of its runs fail */
-    unsigned members; /* of its gang; 0: no gang */
+    unsigned fails;   /* its first runs, up to this one, fail */
+    unsigned members; /* size of its gang; 0: no gang */
     bool checkpoints;
-    bool crashes; /* each worker that starts it goes down soon after */
+    bool crashes; /* crashes each worker that starts it, soon after */
     struct cw_resources need;
 };
 
-/* Who hears of what happens in workers. */
+/* Callbacks for what happens on workers. */
 struct worker_listener {
-    /* Plan of a task; false if nobody asked for it. */
+    /* Returns the plan of a task; false if no caller submitted it. */
     bool (*plan)(void *context, const struct cw_task_name *task,
                  struct task_plan *out);
     void (*started)(void *context, const char *worker,
@@ -35,8 +36,8 @@
     void (*ended)(void *context, const char *worker,
                   const struct cw_task_name *task, unsigned run,
                   enum cw_end_kind how);
-    /* The end was confirmed by the system; `lapsed`: the worker's lease was
-     * over at some time in between. */
+    /* An order has confirmed the end; `lapsed`: the worker's lease expired
+     * between the end and its confirmation. */
     void (*confirmed)(void *context, const char *worker,
                       const struct cw_task_name *task, unsigned run,
                       enum cw_end_kind how, bool lapsed);
@@ -45,10 +46,10 @@
                     const struct cw_task_name *task);
     /* A task has crashed the worker: it is down. */
     void (*down)(void *context, struct worker_model *worker);
-    /* Workers that do not guard their capacity: a start has brought one over
-     * it.  Only where there are such. */
-    void (*crowded)(void *context, const char *worker,
-                    const struct cw_task_name *task, unsigned run);
+    /* A start has exceeded the capacity of a worker.  Needed only where
+     * workers ignore their capacity, and may be NULL elsewhere. */
+    void (*over_capacity)(void *context, const char *worker,
+                          const struct cw_task_name *task, unsigned run);
     void *context;
 };
 
@@ -56,32 +57,41 @@
 worker_fleet_create(const struct worker_listener *listener);
 void worker_fleet_free(struct worker_fleet *fleet);
 
-/* The time of day at time 0 of the fleet's; 0 unless set. */
-void worker_fleet_set_day(struct worker_fleet *fleet, int64_t began_ms);
+/* Sets the wall-clock time at the fleet's time 0; 0 unless set. */
+void
+worker_fleet_set_day(struct worker_fleet *fleet, int64_t wall_clock_base_ms);
 
-/* From now on no worker refuses what does not fit. */
-void worker_fleet_unguard(struct worker_fleet *fleet);
+/* From now on workers also start what exceeds their capacity. */
+void worker_fleet_ignore_capacity(struct worker_fleet *fleet);
 
-/* A worker's life, at an address of its own.  Borrowed. */
+/* Adds a worker whose address is its id.  `clock_ms` is what its clock shows
+ * at the fleet's time 0.  Borrowed. */
 struct worker_model *
 worker_fleet_add(struct worker_fleet *fleet, const char *id, const char *rack,
                  const struct cw_resources *capacity, int64_t clock_ms);
 
-/* The next life of a worker that is down, at the same address.  Borrowed. */
+/* Adds the next incarnation of a worker that is down: a new id at the same
+ * address.  Borrowed. */
 struct worker_model *
 worker_fleet_revive(struct worker_fleet *fleet,
                     const struct worker_model *before, int64_t clock_ms);
 
-/* The next life of a worker that is down, under the same id: it knows nothing
- * of before, and counts anew. */
+/* Starts the next incarnation of a worker that is down, under the same id: it
+ * has no memory of the one before, and numbers its ends from 1 again.
+ * `clock_ms` is what its clock shows now. */
 void worker_model_restart(struct worker_model *worker, int64_t clock_ms);
 
+/* Number of workers, with those that are down. */
 unsigned worker_fleet_size(const struct worker_fleet *fleet);
+
+/* The worker at an index below worker_fleet_size.  Borrowed. */
 struct worker_model *worker_fleet_at(struct worker_fleet *fleet, unsigned i);
+
+/* The worker with this id, or NULL.  Borrowed. */
 struct worker_model *
 worker_fleet_find(struct worker_fleet *fleet, const char *id);
 
-/* The worker that answers at an address, or NULL. */
+/* The worker that answers at an address, or NULL.  Borrowed. */
 struct worker_model *
 worker_fleet_at_address(struct worker_fleet *fleet, const char *address);
 
@@ -91,32 +101,35 @@
 const struct cw_resources *
 worker_model_capacity(const struct worker_model *worker);
 
-/* What it has beside what runs there. */
+/* Its capacity less what its runs take; negative if it has shrunk below
+ * that. */
 struct cw_resources worker_model_free(const struct worker_model *worker);
 
-/* When its present life began, by its time of day. */
+/* When its present incarnation began, as wall-clock time. */
 int64_t worker_model_boot_ms(const struct worker_model *worker);
+
+/* Number of runs on the worker. */
 unsigned worker_model_running(const struct worker_model *worker);
 
-/* Its room shrinks, or grows again; what runs goes on. */
+/* Changes its capacity; runs go on. */
 void worker_model_resize(struct worker_model *worker,
                          const struct cw_resources *capacity);
 
-/* It crashes: everything there is gone, and it answers no more. */
+/* Crashes it: its runs are lost, and it answers no more. */
 void worker_model_crash(struct worker_model *worker);
 bool worker_model_dead(const struct worker_model *worker);
 
-/* Slows its work by so much, or stops it (0). */
+/* Sets how fast its runs work: 1 as planned, 0 not at all. */
 void worker_model_set_speed(struct worker_model *worker, double speed);
 
-/* Carries out an order at `now_ms`.  The lists are copied into `texts` and
- * the arrays. */
+/* Carries out an order at `now_ms`.  Rows of a poll's answer are added to
+ * `running` and `ended`, and copies of their strings to `texts`. */
 void worker_model_order(struct worker_model *worker,
                         const struct cw_target_order *order, int64_t now_ms,
                         struct cw_target_answer *answer, GArray *running,
                         GArray *ended, GPtrArray *texts);
 
-/* Moves everything on to `now_ms`. */
+/* Advances all workers to `now_ms`. */
 void worker_fleet_advance(struct worker_fleet *fleet, int64_t now_ms);
 
 #endif
--- a/emulator/world.c
+++ b/emulator/world.c
@@ -1,4 +1,4 @@
-/* A day of a deployment under a virtual clock. */
+/* Builds a simulated deployment, schedules its day, and runs it. */
 #include "emulator/internal/world_private.h"
 
 #include <inttypes.h>
@@ -9,25 +9,26 @@
 #include "curlewcart/cw_replica.h"
 
 enum {
-    TARGETS_REPORT_MS = 1500,
-    /* A worker that a task has crashed is back after so long. */
-    CRASHED_LEAST_MS = 1000,
-    CRASHED_MOST_MS = 9000,
-    CRASHED_DISTURBS_MS = 12000,
-    /* A worker has so much of its room, in a hundred parts, for so long. */
-    SHRUNK_LEAST = 25,
-    SHRUNK_MOST = 75,
-    SHRUNK_LEAST_MS = 2000,
-    SHRUNK_MOST_MS = 12000,
-    PARTS = 100,
+    REPORT_INTERVAL_MS = 1500, /* of the workers */
+    /* Time that a worker is down after a task has crashed it. */
+    CRASH_DOWN_MIN_MS = 1000,
+    CRASH_DOWN_MAX_MS = 9000,
+    CRASH_DISTURBANCE_MS = 12000,
+    /* Share of its capacity that a shrunk worker has, and for how long. */
+    SHRUNK_MIN_PERCENT = 25,
+    SHRUNK_MAX_PERCENT = 75,
+    SHRUNK_MIN_MS = 2000,
+    SHRUNK_MAX_MS = 12000,
+    PERCENT = 100,
     FIRST_JOB_MS = 2000,
     FIRST_FAULT_MS = 1500,
-    LOOK_EVERY_MS = 500,
-    /* Twelve racks, and what keeps them some 70% busy while jobs come. */
+    CHECK_INTERVAL_MS = 500,
+    /* Twelve racks of workers, and jobs that keep them about 70% busy while
+     * jobs come. */
     WIDE_WORKERS = 48,
     WIDE_JOBS = 260,
-    /* Of the standard days, so many to one on which VMs are unequal. */
-    UNEQUAL_EVERY = 4
+    /* One in so many standard days has VMs with unequal processors. */
+    UNEQUAL_VMS_ONE_IN = 4
 };
 
 /* ---- workers' reports ---- */
@@ -74,7 +75,7 @@
 {
     static const struct cw_codec codec = {
         .targets_topic = TARGETS_TOPIC,
-        .routing_topic = ORDERS_TOPIC,
+        .routing_topic = COMMANDS_TOPIC,
         .cordoned_dc = world_cordoned_dc,
         .decode_target = decode_report,
     };
@@ -83,7 +84,7 @@
 }
 
 static void
-report(struct world *world, void *context)
+report_workers(struct world *world, void *context)
 {
     (void)context;
     for (unsigned i = 0; i < worker_fleet_size(world->fleet); i++) {
@@ -108,60 +109,61 @@
         }
         store_model_append(world->store, &append);
     }
-    world_schedule(world, TARGETS_REPORT_MS, report, NULL);
+    world_schedule(world, REPORT_INTERVAL_MS, report_workers, NULL);
 }
 
-/* ---- looking ---- */
+/* ---- checks ---- */
 
 static void
-look(struct world *world, void *context)
+check_jobs(struct world *world, void *context)
 {
-    GPtrArray *jobs = judge_jobs(world->judge);
+    GPtrArray *jobs = checker_jobs(world->checker);
 
     (void)context;
     for (guint v = 0; v < world->vms->len; v++) {
         struct vm *vm = world->vms->pdata[v];
 
         for (guint i = 0; vm->alive && i < jobs->len; i++) {
-            const struct judge_job *job = jobs->pdata[i];
+            const struct checker_job *job = jobs->pdata[i];
             const struct cw_replica_job *known =
                 cw_replica_find_job(vm->replica, job->id);
 
             if (known != NULL && known->spec != NULL) {
-                judge_shown(world->judge, job->id, cw_replica_phase(known));
+                checker_phase_shown(world->checker, job->id,
+                                    cw_replica_phase(known));
             }
         }
     }
-    world_look_for_waits(world);
-    world_schedule(world, LOOK_EVERY_MS, look, NULL);
+    world_check_waits(world);
+    world_schedule(world, CHECK_INTERVAL_MS, check_jobs, NULL);
 }
 
 static void
-look_finally(struct world *world)
+check_final_phases(struct world *world)
 {
-    GPtrArray *jobs = judge_jobs(world->judge);
+    GPtrArray *jobs = checker_jobs(world->checker);
 
     for (guint i = 0; i < jobs->len; i++) {
-        const struct judge_job *job = jobs->pdata[i];
-        struct vm *vm = world_any_vm(world);
+        const struct checker_job *job = jobs->pdata[i];
+        struct vm *vm = world_random_vm(world);
         const struct cw_replica_job *known =
             vm->alive ? cw_replica_find_job(vm->replica, job->id) : NULL;
         int phase = known != NULL && known->spec != NULL
                         ? (int)cw_replica_phase(known)
                         : -1;
 
-        judge_final(world->judge, job, phase);
+        checker_final_phase(world->checker, job, phase);
     }
 }
 
-/* ---- the workers' listener ---- */
+/* ---- callbacks of the workers ---- */
 
 static bool
 on_plan(void *context, const struct cw_task_name *task, struct task_plan *out)
 {
     struct world *world = context;
 
-    return judge_plan(world->judge, task, out);
+    return checker_task_plan(world->checker, task, out);
 }
 
 static void
@@ -176,16 +178,18 @@
                world->now_ms, task->job, task->occurrence, task->step,
                task->index, run, worker);
     }
-    judge_started(world->judge, task, run, world->now_ms, world_calm(world));
+    checker_started(world->checker, task, run, world->now_ms,
+                    world_is_calm(world));
     world_dc_of_rack(
         worker_model_rack(worker_fleet_find(world->fleet, worker)), dc,
         sizeof(dc));
-    if (!world_may_run_in(world, judge_find(world->judge, task->job), dc)) {
-        judge_misplaced(world->judge, task, run);
+    if (!world_may_run_in(world, checker_find_job(world->checker, task->job),
+                          dc)) {
+        checker_misplaced(world->checker, task, run);
     }
-    if (world->now_ms > world->late_orders_until_ms) {
-        judge_started_in_cordon(world->judge, task, run,
-                                world_cordon_age_ms(world, dc));
+    if (world->now_ms > world->delayed_orders_until_ms) {
+        checker_started_in_cordon(world->checker, task, run,
+                                  world_cordon_age_ms(world, dc));
     }
 }
 
@@ -200,7 +204,7 @@
                world->now_ms, task->job, task->occurrence, task->step,
                task->index, run, worker, cw_end_kind_name(how));
     }
-    judge_ended(world->judge, task, run, how, world_calm(world));
+    checker_ended(world->checker, task, run, how, world_is_calm(world));
 }
 
 static void
@@ -211,7 +215,7 @@
     struct world *world = context;
 
     (void)worker;
-    judge_confirmed(world->judge, task, run, how, lapsed);
+    checker_confirmed(world->checker, task, run, how, lapsed);
 }
 
 static void
@@ -223,34 +227,35 @@
         printf("t=%" PRId64 " crashed %s with %s.%u.%u.%u\n", world->now_ms,
                worker, task->job, task->occurrence, task->step, task->index);
     }
-    judge_crashed(world->judge, task);
+    checker_crashed(world->checker, task);
 }
 
 static void
-revive(struct world *world, void *context)
+restart_with_new_id(struct world *world, void *context)
 {
-    worker_fleet_revive(world->fleet, context, world_pick(world, 100000) + 1);
+    worker_fleet_revive(world->fleet, context,
+                        world_random_below(world, 100000) + 1);
 }
 
 static void
-on_crowded(void *context, const char *worker, const struct cw_task_name *task,
-           unsigned run)
+on_over_capacity(void *context, const char *worker,
+                 const struct cw_task_name *task, unsigned run)
 {
     struct world *world = context;
 
     if (world->options.trace) {
-        printf("t=%" PRId64 " crowded %s\n", world->now_ms, worker);
+        printf("t=%" PRId64 " over capacity %s\n", world->now_ms, worker);
     }
-    judge_crowded(world->judge, task, run);
+    checker_over_capacity(world->checker, task, run);
 }
 
 static const struct cw_resources full_capacity = {
     .cpu_milli = 32000, .memory_mb = 65536, .accelerators = 8};
 
-/* Of the machine, whichever life it has by now: one that is down takes it over
- * from the life before. */
+/* Also restores the capacity of a later incarnation at the same address, which
+ * has the shrunk capacity of the one before. */
 static void
-grow_again(struct world *world, void *context)
+restore_capacity(struct world *world, void *context)
 {
     struct worker_model *worker = context;
     struct worker_model *present =
@@ -263,35 +268,40 @@
 }
 
 static void
-shrink(struct world *world, void *context)
+shrink_worker(struct world *world, void *context)
 {
     struct worker_model *worker = worker_fleet_at(
-        world->fleet, world_pick(world, worker_fleet_size(world->fleet)));
-    unsigned parts = world_between(world, SHRUNK_LEAST, SHRUNK_MOST);
+        world->fleet,
+        world_random_below(world, worker_fleet_size(world->fleet)));
+    unsigned percent =
+        world_random_between(world, SHRUNK_MIN_PERCENT, SHRUNK_MAX_PERCENT);
     struct cw_resources capacity = {
-        .cpu_milli = full_capacity.cpu_milli * parts / PARTS,
-        .memory_mb = full_capacity.memory_mb * parts / PARTS,
-        .accelerators = full_capacity.accelerators * parts / PARTS};
+        .cpu_milli = full_capacity.cpu_milli * percent / PERCENT,
+        .memory_mb = full_capacity.memory_mb * percent / PERCENT,
+        .accelerators = full_capacity.accelerators * percent / PERCENT};
 
     (void)context;
-    world_note(world, "shrink %s to %u%%", worker_model_id(worker), parts);
+    world_record_fault(world, "shrink %s to %u%%", worker_model_id(worker),
+                       percent);
     worker_model_resize(worker, &capacity);
     world_schedule(world,
-                   world_between(world, SHRUNK_LEAST_MS, SHRUNK_MOST_MS),
-                   grow_again, worker);
+                   world_random_between(world, SHRUNK_MIN_MS, SHRUNK_MAX_MS),
+                   restore_capacity, worker);
 }
 
-/* It is back after a time that is now shorter than its lease, now longer. */
+/* The time that the worker is down may be shorter or longer than its lease. */
 static void
 on_down(void *context, struct worker_model *worker)
 {
     struct world *world = context;
-    bool same_id = world->options.restarts > 0 && world_chance(world, 50);
-
-    world_disturb(world, CRASHED_DISTURBS_MS, 0);
-    world_schedule(world,
-                   world_between(world, CRASHED_LEAST_MS, CRASHED_MOST_MS),
-                   same_id ? world_worker_again : revive, worker);
+    bool same_id =
+        world->options.restarts > 0 && world_random_chance(world, 50);
+
+    world_disturb(world, CRASH_DISTURBANCE_MS, 0);
+    world_schedule(
+        world,
+        world_random_between(world, CRASH_DOWN_MIN_MS, CRASH_DOWN_MAX_MS),
+        same_id ? world_restart_worker : restart_with_new_id, worker);
 }
 
 /* ---- a day ---- */
@@ -308,7 +318,7 @@
 }
 
 static struct cw_routing *
-make_routing(bool unguarded)
+make_routing(bool ignores_capacity)
 {
     struct cw_routing *routing = cw_routing_new();
     struct cw_account *account = add_account(routing, "a");
@@ -329,7 +339,7 @@
         queue->priority = i;
         queue->max_attempts = 2;
     }
-    if (unguarded) {
+    if (ignores_capacity) {
         struct cw_service *service = cw_routing_add_service(routing);
 
         service->name = g_strdup("s");
@@ -340,7 +350,7 @@
 }
 
 static void
-build(struct world *world)
+build_world(struct world *world)
 {
     struct worker_listener listener = {.plan = on_plan,
                                        .started = on_started,
@@ -348,7 +358,7 @@
                                        .confirmed = on_confirmed,
                                        .crashed = on_crashed,
                                        .down = on_down,
-                                       .crowded = on_crowded,
+                                       .over_capacity = on_over_capacity,
                                        .context = world};
 
     cw_clock_manual_init(&world->clock);
@@ -356,8 +366,8 @@
     world->events = g_ptr_array_new();
     world->store = store_model_create(1);
     world->fleet = worker_fleet_create(&listener);
-    world->judge = judge_create();
-    world->routing = make_routing(world->options.unguarded);
+    world->checker = checker_create();
+    world->routing = make_routing(world->options.ignores_capacity);
     world->faults = g_string_new(NULL);
     world->cut_workers = g_hash_table_new(g_str_hash, g_str_equal);
     world->late_workers = g_hash_table_new(g_str_hash, g_str_equal);
@@ -370,17 +380,17 @@
         g_snprintf(id, sizeof(id), "w-%u", i);
         g_snprintf(rack, sizeof(rack), "r%u", i / 4);
         worker_fleet_add(world->fleet, id, rack, &full_capacity,
-                         1000 + world_pick(world, 100000));
+                         1000 + world_random_below(world, 100000));
     }
-    if (world->options.unguarded) {
-        worker_fleet_unguard(world->fleet);
+    if (world->options.ignores_capacity) {
+        worker_fleet_ignore_capacity(world->fleet);
     }
     world->vms = g_ptr_array_new_with_free_func(g_free);
     for (unsigned i = 0; i < world->options.vms; i++) {
         struct vm *vm = g_new0(struct vm, 1);
 
-        vm->store.ops = &world_store_port;
-        vm->targets.base.ops = &world_targets_port;
+        vm->store.ops = &world_store_ops;
+        vm->targets.base.ops = &world_targets_ops;
         vm->targets.vm = vm;
         vm->world = world;
         vm->index = i;
@@ -391,29 +401,30 @@
     }
 }
 
-/* Runs `run` so many times, each at some moment of the day from `least_ms`. */
+/* Schedules `run` `times` times, each at a random time of the day from
+ * `from_ms` on. */
 static void
-schedule_times(struct world *world, unsigned times, unsigned least_ms,
+schedule_times(struct world *world, unsigned times, unsigned from_ms,
                void (*run)(struct world *, void *))
 {
     for (unsigned i = 0; i < times; i++) {
-        world_schedule(world,
-                       world_between(world, least_ms, world->options.day_ms),
-                       run, NULL);
+        world_schedule(
+            world, world_random_between(world, from_ms, world->options.day_ms),
+            run, NULL);
     }
 }
 
 static void
-plan_day(struct world *world)
+schedule_day(struct world *world)
 {
     const struct world_options *options = &world->options;
-    unsigned faults = world_pick(world, options->faults + 1);
+    unsigned faults = world_random_below(world, options->faults + 1);
 
-    world_schedule(world, 0, report, NULL);
-    world_schedule(world, LOOK_EVERY_MS, look, NULL);
-    schedule_times(world, options->jobs, FIRST_JOB_MS, world_new_job);
-    schedule_times(world, faults, FIRST_FAULT_MS, world_strike);
-    schedule_times(world, options->shrinks, FIRST_FAULT_MS, shrink);
+    world_schedule(world, 0, report_workers, NULL);
+    world_schedule(world, CHECK_INTERVAL_MS, check_jobs, NULL);
+    schedule_times(world, options->jobs, FIRST_JOB_MS, world_submit_new_job);
+    schedule_times(world, faults, FIRST_FAULT_MS, world_inject_fault);
+    schedule_times(world, options->shrinks, FIRST_FAULT_MS, shrink_worker);
     schedule_times(world, options->restarts, FIRST_FAULT_MS,
                    world_restart_workers);
     schedule_times(world, options->cordons, FIRST_FAULT_MS, world_cordon);
@@ -421,11 +432,12 @@
                    world_owner_kill);
     schedule_times(world, options->owner_losses, FIRST_FAULT_MS,
                    world_owner_loss);
-    schedule_times(world, options->late, FIRST_FAULT_MS, world_late_workers);
+    schedule_times(world, options->late_episodes, FIRST_FAULT_MS,
+                   world_delay_workers);
     world_schedule(world, options->day_ms + 1000, world_heal_all, NULL);
 }
 
-/* The earliest VM that wants a tick, and when; NULL if none lives. */
+/* The VM whose tick is due first, and when; NULL if all VMs are down. */
 static struct vm *
 next_vm(struct world *world, int64_t *at_ms)
 {
@@ -444,7 +456,7 @@
 }
 
 static void
-set_now(struct world *world, int64_t now_ms)
+advance_to(struct world *world, int64_t now_ms)
 {
     if (now_ms > world->now_ms) {
         world->now_ms = now_ms;
@@ -456,7 +468,7 @@
 static void
 run_until(struct world *world, int64_t end_ms)
 {
-    while (judge_violation(world->judge) == NULL) {
+    while (checker_violation(world->checker) == NULL) {
         int64_t vm_ms = INT64_MAX;
         struct vm *vm = next_vm(world, &vm_ms);
         int64_t event_ms =
@@ -470,19 +482,19 @@
         if (event_ms <= vm_ms) {
             struct event *event = world_pop_event(world);
 
-            set_now(world, event->at_ms);
+            advance_to(world, event->at_ms);
             event->run(world, event->context);
             g_free(event);
         }
         else {
-            set_now(world, vm_ms);
+            advance_to(world, vm_ms);
             world_vm_tick(vm);
         }
     }
 }
 
 static void
-tear_down(struct world *world)
+free_world(struct world *world)
 {
     for (guint i = 0; i < world->vms->len; i++) {
         struct vm *vm = world->vms->pdata[i];
@@ -494,8 +506,8 @@
     while (world->events->len > 0) {
         struct event *event = world_pop_event(world);
 
-        /* Only what owns its context needs to run once more. */
-        if (!world_net_release(event) && !world_cordons_release(event) &&
+        /* Frees the contexts that belong to their events. */
+        if (!world_net_free_event(event) && !world_cordons_free_event(event) &&
             (event->run == world_client_submit ||
              event->run == world_client_cancel))
         {
@@ -511,7 +523,7 @@
     g_hash_table_unref(world->cordons);
     worker_fleet_free(world->fleet);
     store_model_free(world->store);
-    judge_free(world->judge);
+    checker_free(world->checker);
     cw_routing_unref(world->routing);
     g_rand_free(world->random);
 }
@@ -527,7 +539,7 @@
                                 .quiet_ms = 60000,
                                 .faults = 7};
 
-    if (seed % UNEQUAL_EVERY == UNEQUAL_EVERY - 1) {
+    if (seed % UNEQUAL_VMS_ONE_IN == UNEQUAL_VMS_ONE_IN - 1) {
         day.vms = 7;
         day.strong = 3;
     }
@@ -543,29 +555,29 @@
 }
 
 void
-world_play(const struct world_options *options, struct world_result *result)
+world_run(const struct world_options *options, struct world_result *result)
 {
     struct world world = {.options = *options};
 
     memset(result, 0, sizeof(*result));
-    build(&world);
+    build_world(&world);
     if (options->trace) {
         cw_log_set_clock(&world.clock.base);
     }
-    plan_day(&world);
+    schedule_day(&world);
     run_until(&world, (int64_t)options->day_ms + options->quiet_ms);
-    if (judge_violation(world.judge) == NULL) {
-        look_finally(&world);
+    if (checker_violation(world.checker) == NULL) {
+        check_final_phases(&world);
     }
-    result->violation = g_strdup(judge_violation(world.judge));
-    result->counts = judge_counts(world.judge);
+    result->violation = g_strdup(checker_violation(world.checker));
+    result->counts = checker_counts(world.checker);
     for (guint i = 0; i < world.vms->len; i++) {
         const struct vm *vm = world.vms->pdata[i];
 
         result->takeovers += vm->takeovers;
-        result->all_vms_s += vm->busy_s;
-        result->busiest_s = MAX(result->busiest_s, vm->busy_s);
+        result->all_vms_cpu_s += vm->cpu_s;
+        result->busiest_vm_cpu_s = MAX(result->busiest_vm_cpu_s, vm->cpu_s);
     }
-    tear_down(&world);
+    free_world(&world);
     result->faults = g_string_free(world.faults, FALSE);
 }
--- a/emulator/world.h
+++ b/emulator/world.h
@@ -1,6 +1,7 @@
-/* A deployment in one process under one virtual clock: the store's and the
- * workers' models, VMs made of the objects that ship, and a network between
- * them that delays, loses and cuts.  Same seed, same day. */
+/* Simulates a deployment in one process under one virtual clock: models of the
+ * store and of the workers, VMs that run the product's own code, and a network
+ * between them with delays, losses and partitions.  The same seed gives the
+ * same day. */
 #ifndef CURLEWCART_EMULATOR_WORLD_H
 #define CURLEWCART_EMULATOR_WORLD_H
 
@@ -12,50 +13,54 @@
 struct world_options {
     uint32_t seed;
     unsigned vms;
-    unsigned strong; /* of them, with four times the processor; 0: all alike */
+    unsigned strong; /* VMs with four times the processor of the others; 0: all
+                        alike */
     unsigned workers;
-    unsigned jobs;     /* handed in over the day */
-    unsigned day_ms;   /* in which jobs come and faults strike */
-    unsigned quiet_ms; /* after it, for everything to end */
-    unsigned faults;   /* at most */
-    unsigned crashing; /* jobs in a hundred that crash workers */
-    unsigned tails;    /* tasks in a hundred that are long */
-    unsigned shrinks;  /* times that a worker's room shrinks for a while */
-    unsigned restarts; /* times that workers crash and are back under their
+    unsigned jobs;             /* submitted over the day */
+    unsigned day_ms;           /* in which jobs come and faults occur */
+    unsigned quiet_ms;         /* after it, in which all jobs have to end */
+    unsigned faults;           /* at most */
+    unsigned crashing_percent; /* jobs that crash workers */
+    unsigned tail_percent;     /* tasks that are long */
+    unsigned shrinks;  /* times that a worker's capacity shrinks for a while */
+    unsigned restarts; /* times that workers crash and restart under their
                           ids */
-    bool unguarded;    /* workers start what does not fit */
-    unsigned late;     /* times that some workers are late with answers, or
-                          reset connections, as busy machines do */
-    bool orders;       /* VMs read operators' orders, also if none come; else
-                          only with cordons, so that seeds keep their days */
-    unsigned cordons;  /* times that an operator closes a data centre to new
-                          work for a while */
-    unsigned owner_kills;  /* times that workers crash and the VM that decides
-                              is killed soon after */
-    unsigned owner_losses; /* the same, with a VM that stays away */
-    bool wide;  /* jobs and gangs beyond a rack, and many to a job */
-    bool trace; /* prints faults and answers with their time */
+    bool ignores_capacity;  /* workers start what exceeds their capacity */
+    unsigned late_episodes; /* times that some workers answer late, or reset
+                               connections, as overloaded machines do */
+    bool reads_commands; /* VMs read operator commands, also if there are none;
+                            else only with cordons, so that the days of
+                            existing seeds stay as they are */
+    unsigned cordons;    /* times that an operator closes a data centre to new
+                            work for a while */
+    unsigned owner_kills;  /* times that workers crash and the VM that owns the
+                              jobs is killed soon after */
+    unsigned owner_losses; /* the same, with a VM that stays down for long */
+    bool wide;  /* jobs and gangs larger than a rack, and many tasks in a
+                   job */
+    bool trace; /* prints faults, starts and answers with their time */
 };
 
 struct world_result {
     char *violation; /* or NULL; owned by the caller */
-    char *faults;    /* what struck; owned by the caller */
-    struct judge_counts counts;
+    char *faults;    /* the faults that occurred; owned by the caller */
+    struct checker_counts counts;
     unsigned takeovers;
-    double busiest_s; /* processor time of the busiest VM's own code */
-    double all_vms_s; /* ... of all */
+    double busiest_vm_cpu_s; /* processor time of the product's code in the
+                                busiest VM */
+    double all_vms_cpu_s;    /* ... in all VMs */
 };
 
-/* The standard day: small, so that faults meet.  On one of four VMs are
- * unequal. */
+/* The standard day: small, so that faults coincide.  In one of four, VMs have
+ * unequal processors. */
 struct world_options world_standard_day(uint32_t seed);
 
-/* The day with wide jobs, on workers enough for them, and so many that the
- * service is full for much of it. */
+/* Adds wide jobs, enough workers for them, and so many jobs that the service
+ * is full for much of the day. */
 void world_widen(struct world_options *day);
 
-/* Plays a day. */
+/* Simulates a day. */
 void
-world_play(const struct world_options *options, struct world_result *result);
+world_run(const struct world_options *options, struct world_result *result);
 
 #endif
--- a/emulator/world_call.c
+++ b/emulator/world_call.c
@@ -1,11 +1,11 @@
-/* A call of a VM that is under way: a copy of what was asked, counted
- * references, and its one answer. */
+/* Calls of VMs in flight: a copy of the request, a reference count, and
+ * exactly one answer. */
 #include "emulator/internal/world_private.h"
 
 void
-world_call_release(struct call *call)
+world_call_unref(struct call *call)
 {
-    if (--call->holds > 0) {
+    if (--call->refs > 0) {
         return;
     }
     if (call->has_page) {
@@ -32,8 +32,8 @@
 
     call->vm = vm;
     call->kind = kind;
-    call->holds = 1;
-    call->give_up_ms = vm->world->now_ms + timeout_ms;
+    call->refs = 1;
+    call->timeout_at_ms = vm->world->now_ms + timeout_ms;
     call->records = g_array_new(FALSE, TRUE, sizeof(struct cw_store_record));
     call->running = g_array_new(FALSE, TRUE, sizeof(struct cw_running));
     call->ended_rows = g_array_new(FALSE, TRUE, sizeof(struct cw_ended));
@@ -42,7 +42,6 @@
     return call;
 }
 
-/* Gives the VM its answer; a status other than OK has no content. */
 void
 world_call_answer(struct call *call, enum cw_store_status status)
 {
@@ -80,13 +79,13 @@
         call->order.done(call->order.context, ok ? &call->answer : &answer);
         break;
     }
-    call->vm->busy_s += world_processor_s() - began;
+    call->vm->cpu_s += world_processor_s() - began;
     call->vm->due_ms = call->vm->world->now_ms;
-    world_call_release(call);
+    world_call_unref(call);
 }
 
 void
-world_call_hold(struct call *call)
+world_call_ref(struct call *call)
 {
-    call->holds++;
+    call->refs++;
 }
--- a/emulator/world_cordons.c
+++ b/emulator/world_cordons.c
@@ -1,6 +1,5 @@
-/* Data centres that operators close to new work for a while: one, two or all,
- * for a moment or for seconds, and again before the last order is known
- * everywhere. */
+/* Cordons of data centres by operators: of one or all, for moments or seconds,
+ * and repeated before all VMs have read the last command. */
 #include "emulator/internal/world_private.h"
 
 #include <string.h>
@@ -8,24 +7,25 @@
 #define CORDON_KEY "cordon/"
 
 enum {
-    CORDON_LEAST_MS = 100,
-    CORDON_MOST_MS = 14000,
-    /* So many in a hundred are taken back, and given again, at once. */
+    CORDON_MIN_MS = 100,
+    CORDON_MAX_MS = 14000,
+    /* Cordons that are soon followed by another one. */
     FLAP_PERCENT = 20,
-    FLAP_MOST_MS = 400,
-    /* ... and so many are for all data centres. */
+    FLAP_MAX_MS = 400,
+    /* Cordons of all data centres. */
     ALL_PERCENT = 10,
     WORKERS_PER_RACK = 4
 };
 
 struct world_cordon {
     int64_t since_ms;
-    unsigned order; /* only the newest order's end withdraws it */
+    unsigned sequence; /* number of its newest command; only the end of that
+                          one withdraws the cordon */
 };
 
-struct lift {
+struct cordon_end {
     char dc[32];
-    unsigned order;
+    unsigned sequence;
 };
 
 const char *
@@ -41,7 +41,7 @@
 }
 
 static void
-write_order(struct world *world, const char *dc, const char *value)
+write_command(struct world *world, const char *dc, const char *value)
 {
     char *key = g_strconcat(CORDON_KEY, dc, NULL);
     struct cw_store_record record = {.key = key,
@@ -49,31 +49,31 @@
                                      .length =
                                          value != NULL ? strlen(value) : 0};
     struct cw_store_append append = {
-        .topic = ORDERS_TOPIC, .records = &record, .count = 1};
+        .topic = COMMANDS_TOPIC, .records = &record, .count = 1};
 
     store_model_append(world->store, &append);
     g_free(key);
 }
 
 static void
-lift(struct world *world, void *context)
+end_cordon(struct world *world, void *context)
 {
-    struct lift *lift = context;
+    struct cordon_end *end = context;
     const struct world_cordon *cordon =
-        g_hash_table_lookup(world->cordons, lift->dc);
+        g_hash_table_lookup(world->cordons, end->dc);
 
-    if (cordon != NULL && cordon->order == lift->order) {
-        world_note(world, "uncordon %s", lift->dc);
-        write_order(world, lift->dc, NULL);
-        g_hash_table_remove(world->cordons, lift->dc);
+    if (cordon != NULL && cordon->sequence == end->sequence) {
+        world_record_fault(world, "uncordon %s", end->dc);
+        write_command(world, end->dc, NULL);
+        g_hash_table_remove(world->cordons, end->dc);
     }
-    g_free(lift);
+    g_free(end);
 }
 
 bool
-world_cordons_release(const struct event *event)
+world_cordons_free_event(const struct event *event)
 {
-    if (event->run != lift) {
+    if (event->run != end_cordon) {
         return false;
     }
     g_free(event->context);
@@ -84,37 +84,37 @@
 cordon_dc(struct world *world, unsigned number, unsigned ms)
 {
     struct world_cordon *cordon;
-    struct lift *end = g_new0(struct lift, 1);
+    struct cordon_end *end = g_new0(struct cordon_end, 1);
 
     g_snprintf(end->dc, sizeof(end->dc), "d%u", number);
-    world_note(world, "cordon %s for %u", end->dc, ms);
+    world_record_fault(world, "cordon %s for %u", end->dc, ms);
     cordon = g_hash_table_lookup(world->cordons, end->dc);
     if (cordon == NULL) {
         cordon = g_new0(struct world_cordon, 1);
         cordon->since_ms = world->now_ms;
         g_hash_table_insert(world->cordons, g_strdup(end->dc), cordon);
     }
-    end->order = ++cordon->order;
-    write_order(world, end->dc, "{}");
-    world_schedule(world, ms, lift, end);
+    end->sequence = ++cordon->sequence;
+    write_command(world, end->dc, "{}");
+    world_schedule(world, ms, end_cordon, end);
 }
 
 void
 world_cordon(struct world *world, void *context)
 {
     unsigned dcs = MAX(1, world->options.workers / WORKERS_PER_RACK);
-    unsigned ms = world_between(world, CORDON_LEAST_MS, CORDON_MOST_MS);
+    unsigned ms = world_random_between(world, CORDON_MIN_MS, CORDON_MAX_MS);
 
     (void)context;
-    if (world_chance(world, ALL_PERCENT)) {
+    if (world_random_chance(world, ALL_PERCENT)) {
         for (unsigned i = 0; i < dcs; i++) {
             cordon_dc(world, i, ms);
         }
         return;
     }
-    cordon_dc(world, world_pick(world, dcs), ms);
-    if (world_chance(world, FLAP_PERCENT)) {
-        world_schedule(world, world_between(world, 1, FLAP_MOST_MS),
+    cordon_dc(world, world_random_below(world, dcs), ms);
+    if (world_random_chance(world, FLAP_PERCENT)) {
+        world_schedule(world, world_random_between(world, 1, FLAP_MAX_MS),
                        world_cordon, NULL);
     }
 }
@@ -127,8 +127,8 @@
 
     g_hash_table_iter_init(&iterator, world->cordons);
     while (g_hash_table_iter_next(&iterator, &dc, NULL)) {
-        world_note(world, "uncordon %s", (const char *)dc);
-        write_order(world, dc, NULL);
+        world_record_fault(world, "uncordon %s", (const char *)dc);
+        write_command(world, dc, NULL);
     }
     g_hash_table_remove_all(world->cordons);
 }
--- a/emulator/world_faults.c
+++ b/emulator/world_faults.c
@@ -1,10 +1,10 @@
-/* What strikes, and what heals it. */
+/* Random faults, and the end of all faults. */
 #include "emulator/internal/world_private.h"
 
 #include <string.h>
 
-/* Workers of a rack of four that may leave in a day. */
-enum { RACK_LEAVING_MOST = 2 };
+/* Workers of a rack of four that may drain in a day. */
+enum { RACK_DRAINING_MAX = 2 };
 
 #include "curlewcart/cw_entry.h"
 #include "curlewcart/cw_owner.h"
@@ -15,10 +15,10 @@
 static void
 fault_kill(struct world *world)
 {
-    struct vm *vm = world_any_vm(world);
-    unsigned down_ms = world_between(world, 100, 3000);
+    struct vm *vm = world_random_vm(world);
+    unsigned down_ms = world_random_between(world, 100, 3000);
 
-    world_note(world, "kill vm-%u", vm->index);
+    world_record_fault(world, "kill vm-%u", vm->index);
     world_disturb(world, down_ms, 4000 - down_ms);
     world_vm_kill(vm);
     world_schedule(world, down_ms, world_vm_restart, vm);
@@ -27,13 +27,13 @@
 static void
 fault_kill_all(struct world *world)
 {
-    unsigned down_ms = world_between(world, 200, 4000);
+    unsigned down_ms = world_random_between(world, 200, 4000);
 
-    world_note(world, "kill all for %u", down_ms);
+    world_record_fault(world, "kill all for %u", down_ms);
     world_disturb(world, down_ms + 300, 3700);
     for (guint i = 0; i < world->vms->len; i++) {
         world_vm_kill(world->vms->pdata[i]);
-        world_schedule(world, down_ms + world_pick(world, 300),
+        world_schedule(world, down_ms + world_random_below(world, 300),
                        world_vm_restart, world->vms->pdata[i]);
     }
 }
@@ -41,10 +41,10 @@
 static void
 fault_freeze(struct world *world)
 {
-    struct vm *vm = world_any_vm(world);
-    unsigned ms = world_between(world, 500, 7000);
+    struct vm *vm = world_random_vm(world);
+    unsigned ms = world_random_between(world, 500, 7000);
 
-    world_note(world, "freeze vm-%u for %u", vm->index, ms);
+    world_record_fault(world, "freeze vm-%u for %u", vm->index, ms);
     world_disturb(world, ms, 0);
     vm->frozen_until_ms = world->now_ms + ms;
 }
@@ -52,10 +52,10 @@
 static void
 fault_cut_vm(struct world *world)
 {
-    struct vm *vm = world_any_vm(world);
-    unsigned ms = world_between(world, 1000, 9000);
+    struct vm *vm = world_random_vm(world);
+    unsigned ms = world_random_between(world, 1000, 9000);
 
-    world_note(world, "cut vm-%u for %u", vm->index, ms);
+    world_record_fault(world, "cut vm-%u for %u", vm->index, ms);
     world_disturb(world, ms, 0);
     vm->cut_until_ms = world->now_ms + ms;
 }
@@ -63,10 +63,11 @@
 static void
 fault_store_down(struct world *world)
 {
-    unsigned ms = world_between(world, 1000, 7000);
+    unsigned ms = world_random_between(world, 1000, 7000);
 
-    world->store_busy = world_chance(world, 50);
-    world_note(world, "store down for %u busy %d", ms, world->store_busy);
+    world->store_busy = world_random_chance(world, 50);
+    world_record_fault(world, "store down for %u busy %d", ms,
+                       world->store_busy);
     world_disturb(world, ms, 0);
     world->store_down_until_ms = world->now_ms + ms;
 }
@@ -74,57 +75,59 @@
 static void
 fault_store_slow(struct world *world)
 {
-    world_note(world, "store slow");
+    world_record_fault(world, "store slow");
     world_disturb(world, 5000, 0);
     world->store_slow_until_ms = world->now_ms + 5000;
 }
 
 static void
-fault_lost(struct world *world)
+fault_lose_appends(struct world *world)
 {
-    world->lost_percent = world_between(world, 10, 50);
-    world->lost_late = world_chance(world, 50);
-    world_note(world, "lose %u%% late %d", world->lost_percent,
-               world->lost_late);
+    world->append_loss_percent = world_random_between(world, 10, 50);
+    world->append_loss_delayed = world_random_chance(world, 50);
+    world_record_fault(world, "lose %u%% late %d", world->append_loss_percent,
+                       world->append_loss_delayed);
     world_disturb(world, 4000, 6000);
-    world->lost_until_ms = world->now_ms + 4000;
+    world->append_loss_until_ms = world->now_ms + 4000;
 }
 
 static void
 fault_compact(struct world *world)
 {
-    world_note(world, "compact");
+    world_record_fault(world, "compact");
     store_model_compact(world->store, CW_JOBS_TOPIC);
     store_model_compact(world->store, CW_STATE_TOPIC);
     store_model_compact(world->store, TARGETS_TOPIC);
-    store_model_compact(world->store, ORDERS_TOPIC);
+    store_model_compact(world->store, COMMANDS_TOPIC);
 }
 
 static void
-fault_deal(struct world *world)
+fault_reassign_partition(struct world *world)
 {
-    world_note(world, "deal");
+    world_record_fault(world, "deal");
     world_disturb(world, 1000, 0);
-    store_model_deal(world->store, world_pick(world, 100), world->clock.now);
+    store_model_reassign(world->store, world_random_below(world, 100),
+                         world->clock.now);
 }
 
 struct worker_model *
-world_any_worker(struct world *world)
+world_random_worker(struct world *world)
 {
-    return worker_fleet_at(world->fleet,
-                           world_pick(world, worker_fleet_size(world->fleet)));
+    return worker_fleet_at(
+        world->fleet,
+        world_random_below(world, worker_fleet_size(world->fleet)));
 }
 
 static void
 fault_cut_worker(struct world *world)
 {
-    unsigned ms = world_between(world, 1000, 12000);
+    unsigned ms = world_random_between(world, 1000, 12000);
 
     world_disturb(world, ms, 0);
-    for (unsigned i = world_between(world, 1, 3); i > 0; i--) {
-        const char *id = worker_model_id(world_any_worker(world));
+    for (unsigned i = world_random_between(world, 1, 3); i > 0; i--) {
+        const char *id = worker_model_id(world_random_worker(world));
 
-        world_note(world, "cut %s for %u", id, ms);
+        world_record_fault(world, "cut %s for %u", id, ms);
         g_hash_table_insert(world->cut_workers, (gpointer)id,
                             GINT_TO_POINTER((gint)(world->now_ms + ms)));
     }
@@ -133,31 +136,31 @@
 static void
 fault_crash_worker(struct world *world)
 {
-    world_replace_worker(world, world_any_worker(world));
+    world_replace_worker(world, world_random_worker(world));
 }
 
 static void
 fault_orders_late(struct world *world)
 {
-    world_note(world, "orders late");
+    world_record_fault(world, "orders late");
     world_disturb(world, 14000, 0);
-    world->orders_late_until_ms = world->now_ms + 4000;
-    world->late_orders_until_ms = world->orders_late_until_ms + 9000;
+    world->orders_delayed_until_ms = world->now_ms + 4000;
+    world->delayed_orders_until_ms = world->orders_delayed_until_ms + 9000;
 }
 
 static void
 fault_hang(struct world *world)
 {
-    struct worker_model *worker = world_any_worker(world);
+    struct worker_model *worker = world_random_worker(world);
 
-    world_note(world, "hang %s", worker_model_id(worker));
+    world_record_fault(world, "hang %s", worker_model_id(worker));
     world_disturb(world, 6000, 0);
     worker_model_set_speed(worker, 0);
 }
 
-/* Workers of the rack that leave; they never come back. */
+/* Workers of the rack that drain; a drain never ends. */
 static unsigned
-leaving_of_rack(const struct world *world, const char *rack)
+count_draining_in_rack(const struct world *world, const char *rack)
 {
     unsigned leaving = 0;
     GHashTableIter iterator;
@@ -176,21 +179,22 @@
 static void
 fault_drain(struct world *world)
 {
-    struct worker_model *worker = world_any_worker(world);
+    struct worker_model *worker = world_random_worker(world);
     const char *id = worker_model_id(worker);
 
-    /* A rack is a data centre here: with one worker left, a gang that may run
-     * in no other would have room nowhere (seed 950258). */
-    if (leaving_of_rack(world, worker_model_rack(worker)) >= RACK_LEAVING_MOST)
+    /* Each rack is a data centre.  With one worker left, a gang that may run
+     * only in this data centre would fit nowhere (seed 950258). */
+    if (count_draining_in_rack(world, worker_model_rack(worker)) >=
+        RACK_DRAINING_MAX)
     {
         return;
     }
-    world_note(world, "drain %s", id);
+    world_record_fault(world, "drain %s", id);
     g_hash_table_add(world->draining, (gpointer)id);
 }
 
 static void
-vm_quit(struct world *world, void *context)
+finish_shutdown(struct world *world, void *context)
 {
     struct vm *vm = context;
 
@@ -201,45 +205,44 @@
 }
 
 static void
-fault_leave(struct world *world)
+fault_shut_down_vm(struct world *world)
 {
-    struct vm *vm = world_any_vm(world);
+    struct vm *vm = world_random_vm(world);
 
     if (!vm->alive || vm->leaving) {
         return;
     }
-    world_note(world, "leave vm-%u", vm->index);
+    world_record_fault(world, "leave vm-%u", vm->index);
     world_disturb(world, 3000, 0);
     vm->leaving = true;
     cw_entry_leave(vm->entry);
     cw_owner_leave(vm->owner);
-    world_schedule(world, 2600, vm_quit, vm);
+    world_schedule(world, 2600, finish_shutdown, vm);
 }
 
 void
-world_strike(struct world *world, void *context)
+world_inject_fault(struct world *world, void *context)
 {
     static void (*const faults[])(struct world *) = {
-        fault_kill,       fault_kill_all,     fault_freeze,
-        fault_cut_vm,     fault_store_down,   fault_store_slow,
-        fault_lost,       fault_compact,      fault_deal,
-        fault_cut_worker, fault_crash_worker, fault_orders_late,
-        fault_hang,       fault_drain,        fault_leave,
+        fault_kill,         fault_kill_all,     fault_freeze,
+        fault_cut_vm,       fault_store_down,   fault_store_slow,
+        fault_lose_appends, fault_compact,      fault_reassign_partition,
+        fault_cut_worker,   fault_crash_worker, fault_orders_late,
+        fault_hang,         fault_drain,        fault_shut_down_vm,
     };
 
     (void)context;
-    faults[world_pick(world, G_N_ELEMENTS(faults))](world);
+    faults[world_random_below(world, G_N_ELEMENTS(faults))](world);
 }
 
-/* Everything works again from here on. */
 void
 world_heal_all(struct world *world, void *context)
 {
     (void)context;
-    world_note(world, "heal");
+    world_record_fault(world, "heal");
     world->store_down_until_ms = 0;
-    world->lost_until_ms = 0;
-    world->orders_late_until_ms = 0;
+    world->append_loss_until_ms = 0;
+    world->orders_delayed_until_ms = 0;
     g_hash_table_remove_all(world->cut_workers);
     world_uncordon_all(world);
     for (guint i = 0; i < world->vms->len; i++) {
--- a/emulator/world_late.c
+++ b/emulator/world_late.c
@@ -1,22 +1,22 @@
-/* Workers that are late: nothing is broken, their machine is busy.  Orders and
- * answers take longer, and some connections are reset before anything is
- * done. */
+/* Late workers, as on overloaded machines: orders and answers take longer, or
+ * connections are reset before the order is carried out. */
 #include "emulator/internal/world_private.h"
 
 enum {
-    LATE_LEAST_MS = 500,
-    /* As long as a worker that goes down and up by turns is away. */
-    LATE_MOST_MS = 1500,
-    /* One way: with both, now below the time that an order is given, now
-     * above. */
-    ONE_WAY_MOST_MS = 350,
-    /* Half of them only reset connections, and these all of the time. */
+    LATE_MIN_MS = 500,
+    /* As long as a worker that goes down and up by turns is unavailable. */
+    LATE_MAX_MS = 1500,
+    /* One way; both ways together are at times shorter and at times longer
+     * than the timeout of an order. */
+    ADDED_ONE_WAY_MAX_MS = 350,
+    /* Late workers that reset every connection; the others only delay. */
     RESETTING_PERCENT = 50,
-    /* One worker in so many is late at a time. */
+    /* One worker in so many is late at a time, at most. */
     LATE_ONE_IN = 4
 };
 
-/* Whether it is late by delays or by resets is drawn with its name. */
+/* True if a late worker resets connections; derived from its id, so that it
+ * always does the same on a day. */
 static bool
 is_resetting(const struct world *world, const char *worker)
 {
@@ -25,16 +25,16 @@
 }
 
 void
-world_late_workers(struct world *world, void *context)
+world_delay_workers(struct world *world, void *context)
 {
     unsigned count = MAX(1, worker_fleet_size(world->fleet) / LATE_ONE_IN);
 
     (void)context;
     for (unsigned i = 0; i < count; i++) {
-        const char *id = worker_model_id(world_any_worker(world));
-        unsigned ms = world_between(world, LATE_LEAST_MS, LATE_MOST_MS);
+        const char *id = worker_model_id(world_random_worker(world));
+        unsigned ms = world_random_between(world, LATE_MIN_MS, LATE_MAX_MS);
 
-        world_note(world, "late %s for %u", id, ms);
+        world_record_fault(world, "late %s for %u", id, ms);
         g_hash_table_insert(world->late_workers, (gpointer)id,
                             GINT_TO_POINTER((gint)(world->now_ms + ms)));
     }
@@ -49,22 +49,23 @@
 }
 
 bool
-world_resets(const struct world *world, const char *worker)
+world_worker_resets(const struct world *world, const char *worker)
 {
     return is_late(world, worker) && is_resetting(world, worker);
 }
 
-struct world_lateness
-world_lateness(struct world *world, const char *worker)
+struct world_worker_delay
+world_worker_delay(struct world *world, const char *worker)
 {
-    struct world_lateness lateness = {0};
+    struct world_worker_delay delay = {0};
 
     if (!is_late(world, worker)) {
-        return lateness;
+        return delay;
     }
-    lateness.resets = is_resetting(world, worker);
-    if (!lateness.resets) {
-        lateness.one_way_ms = world_between(world, 1, ONE_WAY_MOST_MS);
+    delay.resets = is_resetting(world, worker);
+    if (!delay.resets) {
+        delay.added_one_way_ms =
+            world_random_between(world, 1, ADDED_ONE_WAY_MAX_MS);
     }
-    return lateness;
+    return delay;
 }
--- a/emulator/world_load.c
+++ b/emulator/world_load.c
@@ -1,4 +1,4 @@
-/* Callers: jobs of every shape, handed in, tried again, cancelled. */
+/* Callers: they submit random jobs, retry, and cancel some of them. */
 #include "emulator/internal/world_private.h"
 
 #include <inttypes.h>
@@ -9,18 +9,19 @@
 #include "curlewcart/cw_entry.h"
 
 enum {
-    CLIENT_TRIES = 4,
+    CLIENT_TRIES_MAX = 4,
     CLIENT_BUDGET_MS = 1300,
     JOB_DEADLINE_MS = 4000,
     PERCENT = 100,
     WIDE_PERCENT = 33,
-    WIDE_LEAST = 12,
-    WIDE_MOST = 48,
-    /* Half a data centre of four workers: it fits while two are away. */
-    CONFINED_ACCELERATORS = 16,
-    /* Work that does not give way waits while it would leave less than the
-     * guarantee of 64; three drained workers leave this much more. */
-    ONCE_ACCELERATORS = 8
+    WIDE_TASKS_MIN = 12,
+    WIDE_TASKS_MAX = 48,
+    /* Half a data centre of four workers: fits while two of them are down. */
+    CONFINED_ACCELERATORS_MAX = 16,
+    /* Jobs that can't be preempted wait while they would leave less than the
+     * guaranteed 64 accelerators free; with three workers drained, this many
+     * are left beyond the guarantee. */
+    AT_MOST_ONCE_ACCELERATORS_MAX = 8
 };
 
 /* ---- callers ---- */
@@ -30,8 +31,8 @@
 {
     struct client_call *call = context;
     struct world *world = call->world;
-    struct judge_job *job = call->job;
-    bool again =
+    struct checker_job *job = call->job;
+    bool retry =
         outcome == CW_ENTRY_NOT_DONE || outcome == CW_ENTRY_UNCONFIRMED;
 
     g_ptr_array_remove_fast(call->vm->clients, call);
@@ -49,26 +50,28 @@
     else {
         job->accepted = job->accepted || outcome == CW_ENTRY_STORED;
         job->refused = job->refused && outcome == CW_ENTRY_NOT_DONE;
-        job->possible = job->possible || outcome == CW_ENTRY_UNCONFIRMED;
+        job->outcome_unknown =
+            job->outcome_unknown || outcome == CW_ENTRY_UNCONFIRMED;
     }
-    if (again && call->tries < CLIENT_TRIES) {
+    if (retry && call->tries < CLIENT_TRIES_MAX) {
         call->tries++;
         world_schedule(
-            world, world_between(world, 50, 400),
+            world, world_random_between(world, 50, 400),
             call->cancel ? world_client_cancel : world_client_submit, call);
         return;
     }
     g_free(call);
 }
 
-/* Finds a VM for the call; false if it has to try again later. */
+/* Selects a VM for the call; false if the VM is down or frozen, and the call
+ * is retried later or has been freed. */
 static bool
-find_vm(struct world *world, struct client_call *call)
+assign_vm(struct world *world, struct client_call *call)
 {
-    struct vm *vm = world_any_vm(world);
+    struct vm *vm = world_random_vm(world);
 
     if (!vm->alive || vm->frozen_until_ms > world->now_ms) {
-        if (++call->tries > 2 * CLIENT_TRIES) {
+        if (++call->tries > 2 * CLIENT_TRIES_MAX) {
             g_free(call);
         }
         else {
@@ -129,7 +132,7 @@
     struct client_call *call = context;
     struct cw_work_spec *spec;
 
-    if (!find_vm(world, call)) {
+    if (!assign_vm(world, call)) {
         return;
     }
     spec = copy_spec(call->job->spec);
@@ -142,33 +145,33 @@
 world_client_cancel(struct world *world, void *context)
 {
     struct client_call *call = context;
-    struct cw_entry_route place = {0};
+    struct cw_entry_route route = {0};
     char *path;
 
-    if (!find_vm(world, call)) {
+    if (!assign_vm(world, call)) {
         return;
     }
     call->job->cancel_sent = true;
     path =
         g_strdup_printf("/q%u/%s", call->job->spec->priority, call->job->id);
     cw_entry_resolve(call->vm->entry, "h", path, call->job->spec->account,
-                     &place);
-    cw_entry_cancel(call->vm->entry, &place, CLIENT_BUDGET_MS,
+                     &route);
+    cw_entry_cancel(call->vm->entry, &route, CLIENT_BUDGET_MS,
                     on_client_answer, call);
     g_free(path);
 }
 
-/* Every third job of a wide day is a gang of up to half the service that no
- * rack of 32 could hold, or belongs into one; or has many small tasks. */
+/* Widens every third step of a wide day: a gang of up to half the service,
+ * often larger than a rack of 32 accelerators, or many small tasks. */
 static void
 widen_step(struct world *world, struct cw_step_spec *step)
 {
-    if (!world_chance(world, WIDE_PERCENT)) {
+    if (!world_random_chance(world, WIDE_PERCENT)) {
         return;
     }
-    step->tasks = world_between(world, WIDE_LEAST, WIDE_MOST);
+    step->tasks = world_random_between(world, WIDE_TASKS_MIN, WIDE_TASKS_MAX);
     if (step->gang) {
-        step->accelerators = 1U << world_pick(world, 3);
+        step->accelerators = 1U << world_random_below(world, 3);
     }
     else {
         step->accelerators = 1;
@@ -178,14 +181,15 @@
 static void
 fill_step(struct world *world, struct cw_step_spec *step, unsigned number)
 {
-    step->tasks = world_chance(world, 30) ? 1 : world_between(world, 2, 6);
-    step->accelerators = 1U << world_pick(world, 4);
+    step->tasks =
+        world_random_chance(world, 30) ? 1 : world_random_between(world, 2, 6);
+    step->accelerators = 1U << world_random_below(world, 4);
     step->cpu_milli = 1000;
     step->memory_mb = 1000;
-    step->estimate_ms = world_between(world, 200, 4000);
-    step->gang = world_chance(world, 50);
-    step->same_rack = step->gang && world_chance(world, 50);
-    step->checkpoints = world_chance(world, 40);
+    step->estimate_ms = world_random_between(world, 200, 4000);
+    step->gang = world_random_chance(world, 50);
+    step->same_rack = step->gang && world_random_chance(world, 50);
+    step->checkpoints = world_random_chance(world, 40);
     if (world->options.wide) {
         widen_step(world, step);
     }
@@ -199,7 +203,7 @@
     }
 }
 
-/* Accelerators that its widest step takes. */
+/* Accelerators that the widest step takes. */
 static unsigned
 widest_step(const struct cw_work_spec *spec)
 {
@@ -213,18 +217,19 @@
     return widest;
 }
 
-/* What callers of our own interface may ask for beside: drawn from the id,
- * so that the day's other chances stay as they are. */
+/* Sets what a caller may ask for besides the steps.  Derived from the id, so
+ * that the day's other random numbers stay as they are. */
 static void
-fill_promises(struct cw_work_spec *spec)
+fill_constraints(struct cw_work_spec *spec)
 {
-    unsigned mark = g_str_hash(spec->id);
-    bool small = widest_step(spec) <= CONFINED_ACCELERATORS;
+    unsigned hash = g_str_hash(spec->id);
+    bool small = widest_step(spec) <= CONFINED_ACCELERATORS_MAX;
 
-    spec->once = widest_step(spec) <= ONCE_ACCELERATORS && mark % 7 == 0;
-    spec->account = copy_text(small && mark % 5 == 0 ? "confined" : "a");
-    spec->deadline_ms = mark % 11 == 0 ? JOB_DEADLINE_MS : 0;
-    if (small && mark % 13 == 0) {
+    spec->once =
+        widest_step(spec) <= AT_MOST_ONCE_ACCELERATORS_MAX && hash % 7 == 0;
+    spec->account = copy_text(small && hash % 5 == 0 ? "confined" : "a");
+    spec->deadline_ms = hash % 11 == 0 ? JOB_DEADLINE_MS : 0;
+    if (small && hash % 13 == 0) {
         spec->dcs.dcs_len = 1;
         spec->dcs.dcs_val = calloc(1, sizeof(cw_name));
         spec->dcs.dcs_val[0] = copy_text("d1");
@@ -232,19 +237,20 @@
 }
 
 void
-world_new_job(struct world *world, void *context)
+world_submit_new_job(struct world *world, void *context)
 {
     struct cw_work_spec *spec = g_new0(struct cw_work_spec, 1);
     struct client_call *call = g_new0(struct client_call, 1);
-    unsigned steps = world_chance(world, 25) ? 2 : 1;
-    unsigned fails = world_chance(world, 15) ? world_pick(world, 4) : 0;
+    unsigned steps = world_random_chance(world, 25) ? 2 : 1;
+    unsigned fails =
+        world_random_chance(world, 15) ? world_random_below(world, 4) : 0;
     char id[32];
 
     (void)context;
     g_snprintf(id, sizeof(id), "%08x%08x", world->options.seed,
                g_rand_int(world->random));
     spec->id = copy_text(id);
-    spec->priority = world_pick(world, 3);
+    spec->priority = world_random_below(world, 3);
     spec->queue = g_strdup_printf("q%u", spec->priority);
     spec->service = copy_text("s");
     spec->payload = copy_text("work");
@@ -256,24 +262,24 @@
     for (unsigned i = 0; i < steps; i++) {
         fill_step(world, &spec->steps.steps_val[i], i);
     }
-    fill_promises(spec);
+    fill_constraints(spec);
     spec->max_attempts = spec->once ? 1 : 2;
     call->world = world;
-    call->job =
-        judge_add(world->judge, spec, world_between(world, 300, 5000), fails);
-    call->job->plan_tails = world->options.tails;
-    if (g_str_hash(id) % PERCENT < world->options.crashing) {
-        call->job->plan_crashes =
+    call->job = checker_add_job(world->checker, spec,
+                                world_random_between(world, 300, 5000), fails);
+    call->job->plan_tail_percent = world->options.tail_percent;
+    if (g_str_hash(id) % PERCENT < world->options.crashing_percent) {
+        call->job->plan_crashing_task =
             (int)(g_str_hash(id) / PERCENT % spec->steps.steps_val[0].tasks);
     }
     world_client_submit(world, call);
-    if (world_chance(world, 15)) {
-        struct client_call *stop = g_new0(struct client_call, 1);
+    if (world_random_chance(world, 15)) {
+        struct client_call *cancellation = g_new0(struct client_call, 1);
 
-        stop->world = world;
-        stop->job = call->job;
-        stop->cancel = true;
-        world_schedule(world, world_between(world, 5, 6000),
-                       world_client_cancel, stop);
+        cancellation->world = world;
+        cancellation->job = call->job;
+        cancellation->cancel = true;
+        world_schedule(world, world_random_between(world, 5, 6000),
+                       world_client_cancel, cancellation);
     }
 }
--- a/emulator/world_net.c
+++ b/emulator/world_net.c
@@ -1,20 +1,20 @@
-/* The network: calls of VMs to the store and to workers, delayed, lost,
- * refused, or carried out late. */
+/* The network: calls of VMs to the store and to workers, which may be delayed,
+ * lost, refused, or carried out late. */
 #include "emulator/internal/world_private.h"
 
 #include <string.h>
 
 enum {
-    /* On days on which workers start again, so many orders in a hundred are
-     * on their way for so long: from one life to the next. */
-    TARRY_PERCENT = 5,
-    TARRY_MOST_MS = 350,
-    /* ... and so many are carried out and not answered. */
+    /* On days with restarts, orders with an additional delay, so that some
+     * reach the worker's next incarnation. */
+    DELAYED_ORDER_PERCENT = 5,
+    ORDER_DELAY_MAX_MS = 350,
+    /* ... and orders that are carried out but not answered. */
     UNANSWERED_PERCENT = 2,
-    STORE_MS = 2, /* one way, as a rule */
-    SLOW_STORE_MS = 120,
-    WORKER_MS = 1, /* one way */
-    READ_POLL_MS = 25
+    STORE_ONE_WAY_MS = 2, /* the usual mean, one way */
+    SLOW_STORE_ONE_WAY_MAX_MS = 120,
+    WORKER_ONE_WAY_MS = 1,
+    LONG_POLL_CHECK_MS = 25 /* between two checks of a long poll */
 };
 
 static void
@@ -29,7 +29,7 @@
         return;
     }
     world_call_answer(call, CW_STORE_OK);
-    world_call_release(call);
+    world_call_unref(call);
 }
 
 static void
@@ -43,35 +43,35 @@
         return;
     }
     world_call_answer(call, CW_STORE_UNKNOWN);
-    world_call_release(call);
+    world_call_unref(call);
 }
 
 static void
-refuse(struct world *world, void *context)
+refuse_call(struct world *world, void *context)
 {
     struct call *call = context;
 
     (void)world;
     world_call_answer(call, CW_STORE_REFUSED);
-    world_call_release(call);
+    world_call_unref(call);
 }
 
 /* The connection is reset before the worker has read the order. */
 static void
-reset(struct world *world, void *context)
+reset_connection(struct world *world, void *context)
 {
     struct call *call = context;
 
     (void)world;
     world_call_answer(call, CW_STORE_UNKNOWN);
-    world_call_release(call);
+    world_call_unref(call);
 }
 
 static void
-hold_event(struct world *world, struct call *call, int64_t after_ms,
-           void (*run)(struct world *, void *))
+schedule_call(struct world *world, struct call *call, int64_t after_ms,
+              void (*run)(struct world *, void *))
 {
-    call->holds++;
+    call->refs++;
     world_schedule(world, after_ms, run, call);
 }
 
@@ -81,9 +81,10 @@
 store_delay(struct world *world)
 {
     if (world->store_slow_until_ms > world->now_ms) {
-        return world_between(world, STORE_MS, SLOW_STORE_MS);
+        return world_random_between(world, STORE_ONE_WAY_MS,
+                                    SLOW_STORE_ONE_WAY_MAX_MS);
     }
-    return world_between(world, 1, 2 * STORE_MS);
+    return world_random_between(world, 1, 2 * STORE_ONE_WAY_MS);
 }
 
 static bool
@@ -95,13 +96,14 @@
 static void
 apply_join(struct world *world, struct call *call)
 {
-    bool held = false;
+    bool assigned = false;
 
     call->joined.status = CW_STORE_OK;
-    call->joined.generation = store_model_join(
-        world->store, call->text, call->join.ttl_ms, world->clock.now, &held);
+    call->joined.generation =
+        store_model_join(world->store, call->text, call->join.ttl_ms,
+                         world->clock.now, &assigned);
     call->joined.partitions = &call->partition;
-    call->joined.count = held ? 1 : 0;
+    call->joined.count = assigned ? 1 : 0;
 }
 
 static void
@@ -140,7 +142,7 @@
     }
 }
 
-/* Carried out long after the VM has given up on it. */
+/* Applies an append long after the VM's timeout. */
 static void
 apply_late(struct world *world, void *context)
 {
@@ -149,34 +151,34 @@
     if (!call->applied && call->kind == CALL_APPEND) {
         (void)store_model_append(world->store, &call->append);
     }
-    world_call_release(call);
+    world_call_unref(call);
 }
 
 /* The call has reached the store. */
 static void
-arrive(struct world *world, void *context)
+arrive_at_store(struct world *world, void *context)
 {
     struct call *call = context;
     bool writes = call->kind == CALL_APPEND;
 
     if (store_down(world)) {
         if (world->store_busy) {
-            hold_event(world, call, STORE_MS, refuse);
+            schedule_call(world, call, STORE_ONE_WAY_MS, refuse_call);
         }
-        world_call_release(call);
+        world_call_unref(call);
         return;
     }
-    if (writes && world->lost_until_ms > world->now_ms &&
-        world_chance(world, world->lost_percent))
+    if (writes && world->append_loss_until_ms > world->now_ms &&
+        world_random_chance(world, world->append_loss_percent))
     {
-        if (world->lost_late) {
-            hold_event(world, call, world_between(world, 1000, 6000),
-                       apply_late);
+        if (world->append_loss_delayed) {
+            schedule_call(world, call, world_random_between(world, 1000, 6000),
+                          apply_late);
         }
         else {
-            apply(world, call); /* done; its answer is lost */
+            apply(world, call); /* the answer is lost */
         }
-        world_call_release(call);
+        world_call_unref(call);
         return;
     }
     apply(world, call);
@@ -184,14 +186,14 @@
         call->page.page.status == CW_STORE_OK &&
         world->now_ms < call->wait_until_ms && !call->ended)
     {
-        hold_event(world, call, READ_POLL_MS, arrive);
-        world_call_release(call);
+        schedule_call(world, call, LONG_POLL_CHECK_MS, arrive_at_store);
+        world_call_unref(call);
         return;
     }
     if (call->vm->cut_until_ms <= world->now_ms) {
-        hold_event(world, call, store_delay(world), deliver);
+        schedule_call(world, call, store_delay(world), deliver);
     }
-    world_call_release(call);
+    world_call_unref(call);
 }
 
 static void
@@ -200,15 +202,15 @@
     struct vm *vm = call->vm;
     struct world *world = vm->world;
 
-    hold_event(world, call, call->give_up_ms - world->now_ms, time_out);
+    schedule_call(world, call, call->timeout_at_ms - world->now_ms, time_out);
     if (vm->cut_until_ms > world->now_ms) {
-        return; /* nothing arrives, nothing comes back */
+        return; /* neither the call nor an answer arrives */
     }
-    hold_event(world, call, store_delay(world), arrive);
+    schedule_call(world, call, store_delay(world), arrive_at_store);
 }
 
 static void
-port_append(struct cw_store *store, const struct cw_store_append *append)
+send_append(struct cw_store *store, const struct cw_store_append *append)
 {
     struct vm *vm = (struct vm *)store;
     struct call *call = world_call_new(vm, CALL_APPEND, append->timeout_ms);
@@ -234,7 +236,7 @@
 }
 
 static void
-port_read(struct cw_store *store, const struct cw_store_read *read)
+send_read(struct cw_store *store, const struct cw_store_read *read)
 {
     struct vm *vm = (struct vm *)store;
     struct call *call = world_call_new(vm, CALL_READ, read->timeout_ms);
@@ -246,7 +248,7 @@
 }
 
 static void
-port_newest(struct cw_store *store, const struct cw_store_read_newest *newest)
+send_newest(struct cw_store *store, const struct cw_store_read_newest *newest)
 {
     struct call *call =
         world_call_new((struct vm *)store, CALL_NEWEST, newest->timeout_ms);
@@ -258,7 +260,7 @@
 }
 
 static void
-port_join(struct cw_store *store, const struct cw_store_join *join)
+send_join(struct cw_store *store, const struct cw_store_join *join)
 {
     struct call *call =
         world_call_new((struct vm *)store, CALL_JOIN, join->timeout_ms);
@@ -269,7 +271,7 @@
 }
 
 static void
-port_leave(struct cw_store *store, const struct cw_store_leave *leave)
+send_leave(struct cw_store *store, const struct cw_store_leave *leave)
 {
     struct call *call =
         world_call_new((struct vm *)store, CALL_LEAVE, leave->timeout_ms);
@@ -279,12 +281,12 @@
     send_to_store(call);
 }
 
-const struct cw_store_ops world_store_port = {
-    .append = port_append,
-    .read = port_read,
-    .newest = port_newest,
-    .join = port_join,
-    .leave = port_leave,
+const struct cw_store_ops world_store_ops = {
+    .append = send_append,
+    .read = send_read,
+    .newest = send_newest,
+    .join = send_join,
+    .leave = send_leave,
 };
 
 /* ---- the workers' side ---- */
@@ -297,10 +299,10 @@
     return GPOINTER_TO_INT(until) > world->now_ms;
 }
 
-/* What a worker has got and not answered goes with its life: orders that it
- * carries out late, and those that wait for news there. */
+/* True if the order was received by an earlier incarnation of the worker:
+ * delayed orders and long polls are lost when the worker crashes. */
 static bool
-went_with_its_life(struct call *call, const struct worker_model *worker)
+lost_with_incarnation(struct call *call, const struct worker_model *worker)
 {
     int64_t boot_ms = worker_model_boot_ms(worker);
 
@@ -310,18 +312,19 @@
     return call->boot_ms != boot_ms;
 }
 
-/* Carries the order out; its answer goes back unless something is cut. */
+/* The order has reached the worker, which carries it out and answers unless it
+ * is cut off. */
 static void
-arrive_order(struct world *world, void *context)
+arrive_at_worker(struct world *world, void *context)
 {
     struct call *call = context;
     struct worker_model *worker =
         worker_fleet_at_address(world->fleet, call->address);
 
     if (worker == NULL || worker_cut(world, worker_model_id(worker)) ||
-        went_with_its_life(call, worker))
+        lost_with_incarnation(call, worker))
     {
-        world_call_release(call);
+        world_call_unref(call);
         return;
     }
     g_array_set_size(call->running, 0);
@@ -333,38 +336,41 @@
         call->answer.status == CW_TARGET_OK && call->answer.ended_count == 0 &&
         world->now_ms < call->wait_until_ms && !call->ended)
     {
-        call->order.lease_until_ms = 0; /* given once, as it arrived */
-        hold_event(world, call, READ_POLL_MS, arrive_order);
-        world_call_release(call);
+        call->order.lease_until_ms = 0; /* granted once, on arrival */
+        schedule_call(world, call, LONG_POLL_CHECK_MS, arrive_at_worker);
+        world_call_unref(call);
         return;
     }
     if (!call->ended && !(world->options.restarts > 0 &&
-                          world_chance(world, UNANSWERED_PERCENT)))
+                          world_random_chance(world, UNANSWERED_PERCENT)))
     {
-        hold_event(world, call,
-                   world_between(world, 1, 2 * WORKER_MS) +
-                       world_lateness(world, call->text).one_way_ms,
-                   deliver);
+        schedule_call(
+            world, call,
+            world_random_between(world, 1, 2 * WORKER_ONE_WAY_MS) +
+                world_worker_delay(world, call->text).added_one_way_ms,
+            deliver);
     }
-    world_call_release(call);
+    world_call_unref(call);
 }
 
 static unsigned
 order_delay(struct world *world)
 {
-    if (world->options.restarts > 0 && world_chance(world, TARRY_PERCENT)) {
-        return world_between(world, 1, TARRY_MOST_MS);
+    if (world->options.restarts > 0 &&
+        world_random_chance(world, DELAYED_ORDER_PERCENT))
+    {
+        return world_random_between(world, 1, ORDER_DELAY_MAX_MS);
     }
-    return world_between(world, 1, 2 * WORKER_MS);
+    return world_random_between(world, 1, 2 * WORKER_ONE_WAY_MS);
 }
 
 static void
-port_order(struct cw_targets *targets, const struct cw_target_order *order)
+send_order(struct cw_targets *targets, const struct cw_target_order *order)
 {
     struct vm *vm = ((struct vm_targets *)targets)->vm;
     struct world *world = vm->world;
     struct call *call = world_call_new(vm, CALL_ORDER, order->timeout_ms);
-    struct world_lateness lateness;
+    struct world_worker_delay delay;
 
     call->order = *order;
     call->text = g_strdup(order->id);
@@ -377,43 +383,44 @@
     call->order.payload = call->payload;
     call->order.saved = call->saved;
     call->wait_until_ms = world->now_ms + order->wait_ms;
-    hold_event(world, call, call->give_up_ms - world->now_ms, time_out);
+    schedule_call(world, call, call->timeout_at_ms - world->now_ms, time_out);
     if (worker_cut(world, call->text)) {
         return;
     }
-    if (world->orders_late_until_ms > world->now_ms && world_chance(world, 10))
+    if (world->orders_delayed_until_ms > world->now_ms &&
+        world_random_chance(world, 10))
     {
         const struct worker_model *worker =
             worker_fleet_at_address(world->fleet, call->address);
 
         if (worker == NULL) {
-            return; /* there is none that could carry it out */
+            return; /* no worker at this address */
         }
         call->boot_ms = worker_model_boot_ms(worker);
-        hold_event(world, call, world_between(world, 2000, 9000),
-                   arrive_order);
+        schedule_call(world, call, world_random_between(world, 2000, 9000),
+                      arrive_at_worker);
         return;
     }
-    lateness = world_lateness(world, call->text);
-    if (lateness.resets) {
-        hold_event(world, call, WORKER_MS, reset);
+    delay = world_worker_delay(world, call->text);
+    if (delay.resets) {
+        schedule_call(world, call, WORKER_ONE_WAY_MS, reset_connection);
         return;
     }
-    hold_event(world, call, order_delay(world) + lateness.one_way_ms,
-               arrive_order);
+    schedule_call(world, call, order_delay(world) + delay.added_one_way_ms,
+                  arrive_at_worker);
 }
 
-const struct cw_targets_ops world_targets_port = {.order = port_order};
+const struct cw_targets_ops world_targets_ops = {.order = send_order};
 
 bool
-world_net_release(const struct event *event)
+world_net_free_event(const struct event *event)
 {
     if (event->run == deliver || event->run == time_out ||
-        event->run == refuse || event->run == arrive ||
-        event->run == arrive_order || event->run == apply_late ||
-        event->run == reset)
+        event->run == refuse_call || event->run == arrive_at_store ||
+        event->run == arrive_at_worker || event->run == apply_late ||
+        event->run == reset_connection)
     {
-        world_call_release(event->context);
+        world_call_unref(event->context);
         return true;
     }
     return false;
--- a/emulator/world_owner_kills.c
+++ b/emulator/world_owner_kills.c
@@ -1,20 +1,20 @@
-/* Workers that crash, and within a second the VM that decides: nobody is left
- * who knows until when their leases last. */
+/* Crashes of workers, followed within a second by the kill of the VM that owns
+ * the jobs: no VM is left that knows when the workers' leases expire. */
 #include "emulator/internal/world_private.h"
 
 #include "curlewcart/cw_owner.h"
 
 enum {
-    WORKERS_MOST = 3,
-    APART_MOST_MS = 1000,
-    DOWN_LEAST_MS = 100,
-    DOWN_MOST_MS = 1500,
-    LONG_MS = 20000,
-    KILLS_DISTURB_MS = 4000
+    WORKERS_MAX = 3,
+    OWNER_KILL_DELAY_MAX_MS = 1000,
+    DOWN_MIN_MS = 100,
+    DOWN_MAX_MS = 1500,
+    LOSS_DOWN_MS = 20000,
+    KILL_DISTURBANCE_MS = 4000
 };
 
 static struct vm *
-deciding_vm(const struct world *world)
+find_owner_vm(const struct world *world)
 {
     for (guint i = 0; i < world->vms->len; i++) {
         struct vm *vm = world->vms->pdata[i];
@@ -27,7 +27,7 @@
 }
 
 static unsigned
-vms_alive(const struct world *world)
+count_vms_alive(const struct world *world)
 {
     unsigned count = 0;
 
@@ -37,13 +37,13 @@
     return count;
 }
 
-/* A kill that disturbs until its time is over, or only at its moment. */
+/* Kills the VM for `down_ms`; the disturbance lasts for `disturbance_ms`. */
 static void
-kill_for(struct world *world, struct vm *vm, unsigned down_ms,
-         unsigned disturbs_ms)
+kill_vm(struct world *world, struct vm *vm, unsigned down_ms,
+        unsigned disturbance_ms)
 {
-    world_note(world, "kill owner vm-%u for %u", vm->index, down_ms);
-    world_disturb(world, disturbs_ms, KILLS_DISTURB_MS);
+    world_record_fault(world, "kill owner vm-%u for %u", vm->index, down_ms);
+    world_disturb(world, disturbance_ms, KILL_DISTURBANCE_MS);
     world_schedule(world, down_ms, world_vm_restart, vm);
     world_vm_kill(vm);
 }
@@ -51,40 +51,42 @@
 static void
 kill_owner(struct world *world, void *unused)
 {
-    struct vm *vm = deciding_vm(world);
-    unsigned down_ms = world_between(world, DOWN_LEAST_MS, DOWN_MOST_MS);
+    struct vm *vm = find_owner_vm(world);
+    unsigned down_ms = world_random_between(world, DOWN_MIN_MS, DOWN_MAX_MS);
 
     (void)unused;
     if (vm != NULL) {
-        kill_for(world, vm, down_ms, down_ms);
+        kill_vm(world, vm, down_ms, down_ms);
     }
 }
 
-/* A VM that is down for long is no disturbance while it is: the others have
- * to do without it, and it cannot tell what it knew. */
+/* A VM that is down for long is a disturbance only at first: the others have
+ * to go on without it, and can't learn what it knew. */
 static void
 lose_owner(struct world *world, void *unused)
 {
-    struct vm *vm = deciding_vm(world);
+    struct vm *vm = find_owner_vm(world);
 
     (void)unused;
-    if (vm != NULL && vms_alive(world) > 2) {
-        kill_for(world, vm, LONG_MS, 0);
+    if (vm != NULL && count_vms_alive(world) > 2) {
+        kill_vm(world, vm, LOSS_DOWN_MS, 0);
     }
 }
 
-/* Workers crash, and `then` happens within a second. */
+/* Crashes some workers and schedules `then` within a second. */
 static void
 crash_workers(struct world *world, void (*then)(struct world *, void *))
 {
-    for (unsigned i = world_between(world, 1, WORKERS_MOST); i > 0; i--) {
-        struct worker_model *worker = world_any_worker(world);
+    for (unsigned i = world_random_between(world, 1, WORKERS_MAX); i > 0; i--)
+    {
+        struct worker_model *worker = world_random_worker(world);
 
         if (!worker_model_dead(worker)) {
             world_replace_worker(world, worker);
         }
     }
-    world_schedule(world, world_pick(world, APART_MOST_MS), then, NULL);
+    world_schedule(world, world_random_below(world, OWNER_KILL_DELAY_MAX_MS),
+                   then, NULL);
 }
 
 void
--- a/emulator/world_time.c
+++ b/emulator/world_time.c
@@ -1,4 +1,5 @@
-/* Events in the order of time, chance from one generator, notes. */
+/* Events ordered by time, random numbers from one generator, and the list of
+ * faults. */
 #include "emulator/internal/world_private.h"
 
 #include <inttypes.h>
@@ -52,42 +53,43 @@
     swap(heap, 0, heap->len - 1);
     g_ptr_array_set_size(heap, (gint)heap->len - 1);
     for (;;) {
-        guint least = at;
+        guint smallest = at;
 
         for (guint child = 2 * at + 1; child <= 2 * at + 2; child++) {
             if (child < heap->len &&
-                event_before(heap->pdata[child], heap->pdata[least])) {
-                least = child;
+                event_before(heap->pdata[child], heap->pdata[smallest]))
+            {
+                smallest = child;
             }
         }
-        if (least == at) {
+        if (smallest == at) {
             return top;
         }
-        swap(heap, at, least);
-        at = least;
+        swap(heap, at, smallest);
+        at = smallest;
     }
 }
 
 unsigned
-world_pick(struct world *world, unsigned below)
+world_random_below(struct world *world, unsigned below)
 {
     return (unsigned)g_rand_int_range(world->random, 0, (gint32)MAX(1, below));
 }
 
 unsigned
-world_between(struct world *world, unsigned low, unsigned high)
+world_random_between(struct world *world, unsigned low, unsigned high)
 {
-    return low + world_pick(world, high - low + 1);
+    return low + world_random_below(world, high - low + 1);
 }
 
 bool
-world_chance(struct world *world, unsigned percent)
+world_random_chance(struct world *world, unsigned percent)
 {
-    return world_pick(world, PERCENT) < percent;
+    return world_random_below(world, PERCENT) < percent;
 }
 
 bool
-world_calm(const struct world *world)
+world_is_calm(const struct world *world)
 {
     return world->now_ms > world->disturbed_until_ms + CALM_MS;
 }
@@ -95,16 +97,16 @@
 void
 world_disturb(struct world *world, unsigned ms, unsigned after_ms)
 {
-    world->struck_until_ms = MAX(world->struck_until_ms, world->now_ms + ms);
+    world->faults_until_ms = MAX(world->faults_until_ms, world->now_ms + ms);
     world->disturbed_until_ms =
         MAX(world->disturbed_until_ms, world->now_ms + ms + after_ms);
 }
 
-void
-world_note(struct world *world, const char *format, ...) G_GNUC_PRINTF(2, 3);
+void world_record_fault(struct world *world, const char *format, ...)
+    G_GNUC_PRINTF(2, 3);
 
 void
-world_note(struct world *world, const char *format, ...)
+world_record_fault(struct world *world, const char *format, ...)
 {
     va_list arguments;
     char *text;
--- a/emulator/world_vms.c
+++ b/emulator/world_vms.c
@@ -1,4 +1,4 @@
-/* VMs: lives of the objects that ship. */
+/* VMs: each incarnation runs the product's own objects. */
 #include "emulator/internal/world_private.h"
 
 #include <string.h>
@@ -10,12 +10,13 @@
 
 enum {
     MEMBER_TTL_MS = 1300,
-    ORDERS_WAIT_MS = 1000,
+    COMMANDS_WAIT_MS = 1000,
     CORDON_MS = 5000,
     LEASE_MS = 6000,
-    /* Processors of VMs, in thousandths of a core. */
-    STRONG_MILLI = 500,
-    WEAK_MILLI = 120
+    /* Processors of VMs, in thousandths of a core: strong ones have some four
+     * times as much. */
+    STRONG_VM_CPU_MILLI = 500,
+    WEAK_VM_CPU_MILLI = 120
 };
 
 /* ---- VMs ---- */
@@ -37,9 +38,9 @@
     struct timespec next = cw_entry_tick(vm->entry, now);
     bool active = cw_owner_active(vm->owner);
 
-    if (vm->orders != NULL) {
-        cw_follower_tick(vm->orders, now);
-        cw_time_earlier(&next, cw_follower_due(vm->orders));
+    if (vm->commands != NULL) {
+        cw_follower_tick(vm->commands, now);
+        cw_time_earlier(&next, cw_follower_due(vm->commands));
     }
     cw_follower_tick(cw_replica_follower(vm->replica), now);
     cw_time_earlier(&next, cw_owner_tick(vm->owner, now));
@@ -47,7 +48,7 @@
     vm->takeovers += !active && cw_owner_active(vm->owner);
     vm->due_ms =
         MAX(vm->world->now_ms + 1, cw_time_diff_ms(cw_time_from_ms(0), next));
-    vm->busy_s += world_processor_s() - began;
+    vm->cpu_s += world_processor_s() - began;
 }
 
 static void
@@ -59,28 +60,28 @@
 }
 
 static void
-follow_orders(struct vm *vm)
+follow_commands(struct vm *vm)
 {
     struct world *world = vm->world;
     struct cw_cordons_options cordons = {.codec = world_codec(),
                                          .clock = &world->clock.base,
                                          .changed = on_cordons_changed,
                                          .context = vm};
-    struct cw_follower_options orders = {
+    struct cw_follower_options commands = {
         .name = "orders",
         .store = &vm->store,
         .clock = &world->clock.base,
         .topic = world_codec()->routing_topic,
-        .wait_ms = ORDERS_WAIT_MS,
+        .wait_ms = COMMANDS_WAIT_MS,
         .handler = {.reset = cw_cordons_reset,
                     .loaded = cw_cordons_loaded,
                     .record = cw_cordons_record},
     };
 
     vm->cordons = cw_cordons_create(&cordons);
-    orders.handler.context = vm->cordons;
-    vm->orders = cw_follower_create(&orders);
-    cw_cordons_set_follower(vm->cordons, vm->orders);
+    commands.handler.context = vm->cordons;
+    vm->commands = cw_follower_create(&commands);
+    cw_cordons_set_follower(vm->cordons, vm->commands);
 }
 
 void
@@ -88,7 +89,7 @@
 {
     struct world *world = vm->world;
     char *name = g_strdup_printf("vm-%u", vm->index);
-    char *member = g_strdup_printf("%s/%u", name, vm->life);
+    char *member = g_strdup_printf("%s/%u", name, vm->incarnation);
     bool strong =
         world->options.strong == 0 || vm->index < world->options.strong;
     struct cw_replica_options replica = {.store = &vm->store,
@@ -98,22 +99,22 @@
     struct cw_entry_options entry = {.store = &vm->store,
                                      .clock = &world->clock.base,
                                      .counters = &vm->counters};
-    struct cw_owner_options owner = {.store = &vm->store,
-                                     .targets = &vm->targets.base,
-                                     .codec = world_codec(),
-                                     .clock = &world->clock.base,
-                                     .counters = &vm->counters,
-                                     .vm = name,
-                                     .member = member,
-                                     .member_ttl_ms = MEMBER_TTL_MS,
-                                     .lease_ms = LEASE_MS,
-                                     .retain_ms = 600000,
-                                     .cordon_ms = CORDON_MS,
-                                     .capacity_milli =
-                                         strong ? STRONG_MILLI : WEAK_MILLI};
-
-    if (world->options.orders || world->options.cordons > 0) {
-        follow_orders(vm);
+    struct cw_owner_options owner = {
+        .store = &vm->store,
+        .targets = &vm->targets.base,
+        .codec = world_codec(),
+        .clock = &world->clock.base,
+        .counters = &vm->counters,
+        .vm = name,
+        .member = member,
+        .member_ttl_ms = MEMBER_TTL_MS,
+        .lease_ms = LEASE_MS,
+        .retain_ms = 600000,
+        .cordon_ms = CORDON_MS,
+        .capacity_milli = strong ? STRONG_VM_CPU_MILLI : WEAK_VM_CPU_MILLI};
+
+    if (world->options.reads_commands || world->options.cordons > 0) {
+        follow_commands(vm);
     }
     owner.cordons = vm->cordons;
     vm->replica = cw_replica_create(&replica);
@@ -130,15 +131,15 @@
     g_free(name);
 }
 
-/* Its callers see their connection break: they cannot tell what became of
- * their call. */
+/* Breaks the callers' connections: they don't learn the outcome of their
+ * calls. */
 static void
 break_clients(struct vm *vm)
 {
     for (guint i = 0; i < vm->clients->len; i++) {
         struct client_call *call = vm->clients->pdata[i];
 
-        call->job->possible = true;
+        call->job->outcome_unknown = true;
         call->job->refused = false;
         g_free(call);
     }
@@ -152,27 +153,27 @@
         return;
     }
     vm->alive = false;
-    /* Ends the calls under way, so that what they hold is freed; whatever
-     * the dying VM still sends goes nowhere. */
+    /* Ends the calls in flight, so that their contexts are freed; whatever the
+     * VM still sends while it is killed is lost. */
     vm->cut_until_ms = INT64_MAX;
     while (vm->calls->len > 0) {
         struct call *call = vm->calls->pdata[vm->calls->len - 1];
 
-        world_call_hold(call);
+        world_call_ref(call);
         world_call_answer(call, CW_STORE_UNKNOWN);
-        world_call_release(call);
+        world_call_unref(call);
     }
     break_clients(vm);
-    cw_follower_free(vm->orders);
+    cw_follower_free(vm->commands);
     cw_owner_free(vm->owner);
     cw_cordons_free(vm->cordons);
-    vm->orders = NULL;
+    vm->commands = NULL;
     vm->cordons = NULL;
     cw_entry_free(vm->entry);
     cw_replica_free(vm->replica);
     vm->cut_until_ms = 0;
     vm->frozen_until_ms = 0;
-    vm->life++;
+    vm->incarnation++;
 }
 
 void
@@ -181,13 +182,13 @@
     struct vm *vm = context;
 
     if (!vm->alive) {
-        world_note(world, "start vm-%u", vm->index);
+        world_record_fault(world, "start vm-%u", vm->index);
         world_vm_boot(vm);
     }
 }
 
 struct vm *
-world_any_vm(struct world *world)
+world_random_vm(struct world *world)
 {
-    return world->vms->pdata[world_pick(world, world->vms->len)];
+    return world->vms->pdata[world_random_below(world, world->vms->len)];
 }
--- a/emulator/world_waits.c
+++ b/emulator/world_waits.c
@@ -1,19 +1,20 @@
-/* Work that could run and does not, by what workers carry out, however full
- * the service is: nothing that the product believes is asked, so that any
- * cause shows. */
+/* Finds jobs that could run and do not, however full the service is.  It uses
+ * only what workers carry out and none of the product's state, so that it
+ * finds them whatever the cause. */
 #include "emulator/internal/world_private.h"
 
 #include <string.h>
 
 enum {
-    /* The platform counts from so long after the last fault. */
+    /* Jobs are checked again from this long after the last fault. */
     CALM_MS = 4000,
-    /* There has to be room for so many times what waits. */
-    TIMES = 2
+    /* Free capacity, in multiples of what a job needs to start, from which it
+     * counts as able to run. */
+    FREE_CAPACITY_FACTOR = 2
 };
 
 bool
-world_may_run_in(const struct world *world, const struct judge_job *job,
+world_may_run_in(const struct world *world, const struct checker_job *job,
                  const char *dc)
 {
     const struct cw_work_spec *spec = job->spec;
@@ -26,21 +27,21 @@
            (!confined || strcmp(dc, "d0") == 0 || strcmp(dc, "d1") == 0);
 }
 
-/* A worker that work may be sent to: one that resets connections takes none,
- * nor does one in a data centre that is cordoned. */
+/* True if the worker takes new tasks: it is up, not draining, doesn't reset
+ * connections, and its data centre is not cordoned. */
 static bool
-takes_work(struct world *world, const struct worker_model *worker)
+accepts_work(struct world *world, const struct worker_model *worker)
 {
     const char *id = worker_model_id(worker);
     char dc[32];
 
     world_dc_of_rack(worker_model_rack(worker), dc, sizeof(dc));
     return world_cordon_age_ms(world, dc) < 0 && !worker_model_dead(worker) &&
-           !world_resets(world, id) &&
+           !world_worker_resets(world, id) &&
            !g_hash_table_contains(world->draining, id);
 }
 
-/* True if under half of the service's room is in use. */
+/* True if more than half of the service's capacity is free. */
 static bool
 is_mostly_free(struct world *world)
 {
@@ -52,7 +53,7 @@
         const struct cw_resources *all = worker_model_capacity(worker);
         struct cw_resources free = worker_model_free(worker);
 
-        if (takes_work(world, worker)) {
+        if (accepts_work(world, worker)) {
             has.cpu_milli += all->cpu_milli;
             has.memory_mb += all->memory_mb;
             has.accelerators += all->accelerators;
@@ -66,9 +67,10 @@
            2 * left.memory_mb > has.memory_mb;
 }
 
-/* Tasks of the step that find room on a worker now. */
+/* Number of the step's tasks that fit on a worker now. */
 static unsigned
-fits_there(const struct worker_model *worker, const struct cw_step_spec *step)
+count_fitting_on(const struct worker_model *worker,
+                 const struct cw_step_spec *step)
 {
     struct cw_resources free = worker_model_free(worker);
 
@@ -76,58 +78,57 @@
                             free.cpu_milli / step->cpu_milli),
                         free.memory_mb / step->memory_mb);
 
-    return (unsigned)MAX(0,
-                         count); /* one that has shrunk has less than none */
+    return (unsigned)MAX(0, count); /* negative on a worker that has shrunk */
 }
 
-/* Tasks of the step that find room now, in workers of the rack; NULL: of any
+/* Number of the step's tasks that fit now on workers of the rack; NULL: of any
  * rack. */
 static unsigned
-fits(struct world *world, const struct judge_job *job,
-     const struct cw_step_spec *step, const char *rack)
+count_fitting(struct world *world, const struct checker_job *job,
+              const struct cw_step_spec *step, const char *rack)
 {
     unsigned count = 0;
     char dc[32];
 
     for (unsigned i = 0; i < worker_fleet_size(world->fleet); i++) {
         const struct worker_model *worker = worker_fleet_at(world->fleet, i);
-        const char *its = worker_model_rack(worker);
+        const char *worker_rack = worker_model_rack(worker);
 
-        world_dc_of_rack(its, dc, sizeof(dc));
-        if (takes_work(world, worker) && world_may_run_in(world, job, dc) &&
-            (rack == NULL || strcmp(rack, its) == 0))
+        world_dc_of_rack(worker_rack, dc, sizeof(dc));
+        if (accepts_work(world, worker) && world_may_run_in(world, job, dc) &&
+            (rack == NULL || strcmp(rack, worker_rack) == 0))
         {
-            count += fits_there(worker, step);
+            count += count_fitting_on(worker, step);
         }
     }
     return count;
 }
 
 static bool
-a_rack_has_room(struct world *world, const struct judge_job *job,
-                const struct cw_step_spec *step)
+some_rack_has_capacity(struct world *world, const struct checker_job *job,
+                       const struct cw_step_spec *step)
 {
     for (unsigned i = 0; i < worker_fleet_size(world->fleet); i++) {
         const char *rack = worker_model_rack(worker_fleet_at(world->fleet, i));
 
-        if (fits(world, job, step, rack) >= step->tasks) {
+        if (count_fitting(world, job, step, rack) >= step->tasks) {
             return true;
         }
     }
     return false;
 }
 
-/* Accelerators that more urgent work waits for. */
+/* Accelerators that jobs of the highest priority wait for. */
 static unsigned
 urgent_need(const struct world *world)
 {
-    GPtrArray *jobs = judge_jobs(world->judge);
+    GPtrArray *jobs = checker_jobs(world->checker);
     unsigned need = 0;
 
     for (guint i = 0; i < jobs->len; i++) {
-        const struct judge_job *job = jobs->pdata[i];
+        const struct checker_job *job = jobs->pdata[i];
         const struct cw_step_spec *step =
-            job->spec->priority == 0 ? judge_step_in_turn(world->judge, job)
+            job->spec->priority == 0 ? checker_ready_step(world->checker, job)
                                      : NULL;
 
         if (step != NULL && job->running < step->tasks) {
@@ -137,12 +138,13 @@
     return need;
 }
 
-/* Tasks of the step that find no place before the most urgent work has its
- * own.  That comes first and may make others leave: while they do, its places
- * are empty.  With most of the service free there is room for both. */
+/* Number of the step's tasks whose capacity goes to urgent work first.  Urgent
+ * work is placed before others and may preempt them; while they stop, the
+ * capacity that it waits for is still free.  With most of the service free
+ * there is enough for both. */
 static unsigned
-spoken_for(struct world *world, const struct judge_job *job,
-           const struct cw_step_spec *step)
+reserved_for_urgent(struct world *world, const struct checker_job *job,
+                    const struct cw_step_spec *step)
 {
     if (job->spec->priority == 0 || is_mostly_free(world)) {
         return 0;
@@ -150,39 +152,40 @@
     return urgent_need(world) / MAX(1, step->accelerators);
 }
 
-/* What can only begin together, a task or a gang, has room twice over.  A gang
- * that belongs into one rack may wait for one. */
+/* True if what can only start together, a task or a gang, fits twice.  A gang
+ * that needs one rack may wait until one has capacity. */
 static bool
-has_room(struct world *world, const struct judge_job *job,
-         const struct cw_step_spec *step)
+has_capacity(struct world *world, const struct checker_job *job,
+             const struct cw_step_spec *step)
 {
     unsigned together = step->gang ? step->tasks : 1;
 
-    return fits(world, job, step, NULL) >=
-               TIMES * together + spoken_for(world, job, step) &&
-           (!step->same_rack || a_rack_has_room(world, job, step));
+    return count_fitting(world, job, step, NULL) >=
+               FREE_CAPACITY_FACTOR * together +
+                   reserved_for_urgent(world, job, step) &&
+           (!step->same_rack || some_rack_has_capacity(world, job, step));
 }
 
-/* Work that must not be begun twice may have to wait for a guarantee. */
+/* At-most-once jobs don't count: they may have to wait for a guarantee. */
 static bool
-could_run(struct world *world, const struct judge_job *job)
+is_runnable(struct world *world, const struct checker_job *job)
 {
-    const struct cw_step_spec *step = judge_step_in_turn(world->judge, job);
+    const struct cw_step_spec *step = checker_ready_step(world->checker, job);
 
-    return step != NULL && !job->spec->once && has_room(world, job, step);
+    return step != NULL && !job->spec->once && has_capacity(world, job, step);
 }
 
 void
-world_look_for_waits(struct world *world)
+world_check_waits(struct world *world)
 {
-    GPtrArray *jobs = judge_jobs(world->judge);
-    bool calm = world->struck_until_ms == 0 ||
-                world->now_ms > world->struck_until_ms + CALM_MS;
+    GPtrArray *jobs = checker_jobs(world->checker);
+    bool calm = world->faults_until_ms == 0 ||
+                world->now_ms > world->faults_until_ms + CALM_MS;
 
     for (guint i = 0; i < jobs->len; i++) {
-        struct judge_job *job = jobs->pdata[i];
-        bool could = calm && job->running == 0 && could_run(world, job);
+        struct checker_job *job = jobs->pdata[i];
+        bool runnable = calm && job->running == 0 && is_runnable(world, job);
 
-        judge_look(world->judge, job, could, world->now_ms);
+        checker_check_wait(world->checker, job, runnable, world->now_ms);
     }
 }
--- a/tests/test_store_model.c
+++ b/tests/test_store_model.c
@@ -1,4 +1,5 @@
-/* The emulator's store: what the product relies on. */
+/* The emulator's store has the properties that the product relies on: fenced
+ * writers, repeated appends, newest records, and the group. */
 #include "test_main.h"
 
 #include "curlewcart/cw_time.h"
@@ -20,7 +21,7 @@
 }
 
 static void
-test_a_higher_epoch_shuts_out_a_lower_one(void)
+test_a_higher_epoch_fences_a_lower_one(void)
 {
     struct store_model *model = store_model_create(1);
 
@@ -33,14 +34,14 @@
 }
 
 static void
-test_a_repetition_gets_its_first_answer(void)
+test_a_repeated_append_gets_its_first_answer(void)
 {
     struct store_model *model = store_model_create(1);
     struct cw_store_append_result first = append(model, "a", "w", 1, 1);
-    struct cw_store_append_result again = append(model, "a", "w", 1, 1);
+    struct cw_store_append_result repeated = append(model, "a", "w", 1, 1);
     struct cw_store_append_result gap = append(model, "a", "w", 1, 5);
 
-    CU_ASSERT_EQUAL(first.first, again.first);
+    CU_ASSERT_EQUAL(first.first, repeated.first);
     CU_ASSERT_EQUAL(store_model_end(model, "t"), 1);
     CU_ASSERT_EQUAL(gap.status, CW_STORE_OUT_OF_SEQUENCE);
     CU_ASSERT_EQUAL(gap.expected_sequence, 2);
@@ -48,7 +49,7 @@
 }
 
 static void
-test_newest_records_outlive_the_history(void)
+test_newest_records_stay_after_compaction(void)
 {
     struct store_model *model = store_model_create(1);
     struct store_model_page page;
@@ -72,32 +73,32 @@
 }
 
 static void
-test_a_partition_moves_when_its_holder_is_gone_or_knows(void)
+test_a_partition_moves_when_its_holder_rejoins_or_expires(void)
 {
     struct store_model *model = store_model_create(1);
-    bool held = false;
+    bool assigned = false;
 
-    store_model_join(model, "x", 1000, cw_time_from_ms(0), &held);
-    CU_ASSERT_TRUE(held);
-    store_model_join(model, "y", 1000, cw_time_from_ms(10), &held);
-    CU_ASSERT_FALSE(held);
-    store_model_deal(model, 1, cw_time_from_ms(20)); /* to y */
-    store_model_join(model, "y", 1000, cw_time_from_ms(30), &held);
-    CU_ASSERT_FALSE(held); /* x has not heard of it yet */
-    store_model_join(model, "x", 1000, cw_time_from_ms(40), &held);
-    CU_ASSERT_FALSE(held);
-    store_model_join(model, "y", 1000, cw_time_from_ms(50), &held);
-    CU_ASSERT_TRUE(held);
-    store_model_join(model, "x", 1000, cw_time_from_ms(2000), &held);
-    CU_ASSERT_TRUE(held); /* y has not joined for longer than it lives */
+    store_model_join(model, "x", 1000, cw_time_from_ms(0), &assigned);
+    CU_ASSERT_TRUE(assigned);
+    store_model_join(model, "y", 1000, cw_time_from_ms(10), &assigned);
+    CU_ASSERT_FALSE(assigned);
+    store_model_reassign(model, 1, cw_time_from_ms(20)); /* to y */
+    store_model_join(model, "y", 1000, cw_time_from_ms(30), &assigned);
+    CU_ASSERT_FALSE(assigned); /* x has not joined since */
+    store_model_join(model, "x", 1000, cw_time_from_ms(40), &assigned);
+    CU_ASSERT_FALSE(assigned);
+    store_model_join(model, "y", 1000, cw_time_from_ms(50), &assigned);
+    CU_ASSERT_TRUE(assigned);
+    store_model_join(model, "x", 1000, cw_time_from_ms(2000), &assigned);
+    CU_ASSERT_TRUE(assigned); /* y's membership has expired */
     store_model_free(model);
 }
 
 static const struct test tests[] = {
-    {"epochs", test_a_higher_epoch_shuts_out_a_lower_one},
-    {"repetition", test_a_repetition_gets_its_first_answer},
-    {"newest", test_newest_records_outlive_the_history},
-    {"group", test_a_partition_moves_when_its_holder_is_gone_or_knows},
+    {"epochs", test_a_higher_epoch_fences_a_lower_one},
+    {"repeated append", test_a_repeated_append_gets_its_first_answer},
+    {"newest", test_newest_records_stay_after_compaction},
+    {"group", test_a_partition_moves_when_its_holder_rejoins_or_expires},
 };
 
 TEST_MAIN("store_model", tests)
