--- a/tests/test_world.c
+++ b/tests/test_world.c
@@ -1,4 +1,5 @@
-/* Whole days of a deployment under faults, from fixed seeds. */
+/* Simulated days of a deployment under faults, from fixed seeds: no guarantee
+ * is violated. */
 #include "test_main.h"
 
 #include <stdio.h>
@@ -19,7 +20,7 @@
     CALM_SEED = 1000,
     CALM_DAYS = 60,
     WIDE_DAYS = 4,
-    LATE = 8
+    LATE_EPISODES = 8
 };
 
 static struct world_options
@@ -29,15 +30,15 @@
     return world_standard_day(seed);
 }
 
-/* Plays a seed; prints what was violated. */
+/* Simulates the standard day of a seed and prints the violation, if any. */
 static bool
-plays_clean(uint32_t seed)
+runs_clean(uint32_t seed)
 {
     struct world_options options = day(seed);
     struct world_result result;
     bool clean;
 
-    world_play(&options, &result);
+    world_run(&options, &result);
     clean = result.violation == NULL;
     if (!clean) {
         printf("seed %u: %s\n", seed, result.violation);
@@ -48,10 +49,10 @@
 }
 
 static void
-test_days_of_fixed_seeds_keep_every_promise(void)
+test_days_of_fixed_seeds_keep_every_guarantee(void)
 {
     for (uint32_t i = 0; i < FIXED_DAYS; i++) {
-        CU_ASSERT_TRUE(plays_clean(FIXED_SEED + i));
+        CU_ASSERT_TRUE(runs_clean(FIXED_SEED + i));
     }
 }
 
@@ -62,8 +63,8 @@
     struct world_result first;
     struct world_result second;
 
-    world_play(&options, &first);
-    world_play(&options, &second);
+    world_run(&options, &first);
+    world_run(&options, &second);
     CU_ASSERT_STRING_EQUAL(first.faults, second.faults);
     CU_ASSERT_EQUAL(
         memcmp(&first.counts, &second.counts, sizeof(first.counts)), 0);
@@ -74,13 +75,13 @@
 }
 
 static void
-test_a_calm_day_completes_all_that_can_be(void)
+test_every_job_of_a_calm_day_ends(void)
 {
     struct world_options options = day(7);
     struct world_result result;
 
     options.faults = 0;
-    world_play(&options, &result);
+    world_run(&options, &result);
     CU_ASSERT_PTR_NULL(result.violation);
     CU_ASSERT_EQUAL(result.counts.accepted, result.counts.jobs);
     CU_ASSERT_EQUAL(result.counts.completed + result.counts.failed +
@@ -92,9 +93,10 @@
     g_free(result.faults);
 }
 
-/* One job in twenty crashes each worker that starts it; the worker is back
- * after 1 to 9 s.  On 71 of the 100 days such a task was started more often
- * than twice after three workers had crashed under it (see test_crashes). */
+/* One job in twenty has a task that crashes each worker that starts it; the
+ * worker restarts after 1 to 9 s.  Before such tasks were given up, on 71 of
+ * the 100 days one was started more than twice after it had crashed three
+ * workers (see test_crashes). */
 static void
 test_tasks_that_crash_workers_are_given_up(void)
 {
@@ -104,8 +106,8 @@
         struct world_options options = day(CRASHING_SEED + i);
         struct world_result result;
 
-        options.crashing = CRASHING_PERCENT;
-        world_play(&options, &result);
+        options.crashing_percent = CRASHING_PERCENT;
+        world_run(&options, &result);
         clean += result.violation == NULL;
         if (result.violation != NULL) {
             printf("crashing, seed %u: %s\n", options.seed, result.violation);
@@ -116,30 +118,32 @@
     CU_ASSERT_EQUAL(clean, CRASHING_DAYS);
 }
 
-/* Crashes, rooms that shrink and workers that do not guard them, together.
- * Seed 2200208 once left a job without a place: a worker that crashed while
- * its room was small never got it back, and the data centre that the job may
- * run in had one whole worker left (the emulator's fault). */
+/* Crashing tasks, shrinking workers, and workers that ignore their capacity,
+ * together.  On seed 2200208 a job waited forever because of a fault in the
+ * emulator: a worker that crashed while it was shrunk never got its capacity
+ * back, and the only data centre that the job may run in had one unshrunk
+ * worker left. */
 static void
-test_all_of_it_together(void)
+test_all_faults_of_workers_together(void)
 {
     struct world_options options = day(2200208);
     struct world_result result;
 
-    options.crashing = 3;
+    options.crashing_percent = 3;
     options.shrinks = 6;
-    options.unguarded = true;
-    world_play(&options, &result);
+    options.ignores_capacity = true;
+    world_run(&options, &result);
     CU_ASSERT_PTR_NULL(result.violation);
     g_free(result.violation);
     g_free(result.faults);
 }
 
-/* Six times a day workers crash and are back under their ids: alone or
- * together, within their lease or after it, twice in a row, behind a cut.  On
- * 93 of the 100 days something was done twice (see test_restarts). */
+/* Six times a day workers crash and restart under their ids: alone or
+ * together, within their lease or after it, twice in a row, while cut off.
+ * Before VMs distinguished incarnations with the same id, tasks were done
+ * twice on 93 of the 100 days (see test_restarts). */
 static void
-test_workers_that_start_again_under_their_ids(void)
+test_workers_that_restart_under_their_ids(void)
 {
     unsigned clean = 0;
 
@@ -148,7 +152,7 @@
         struct world_result result;
 
         options.restarts = RESTARTS;
-        world_play(&options, &result);
+        world_run(&options, &result);
         clean += result.violation == NULL;
         if (result.violation != NULL) {
             printf("restarts, seed %u: %s\n", options.seed, result.violation);
@@ -159,10 +163,10 @@
     CU_ASSERT_EQUAL(clean, RESTARTS_DAYS);
 }
 
-/* Days on which nothing strikes, but for workers that are late; returns how
- * many are clean. */
+/* Simulates days without faults other than late workers; returns how many
+ * have no violation. */
 static unsigned
-calm_days(unsigned days, bool wide, unsigned late)
+calm_days(unsigned days, bool wide, unsigned late_episodes)
 {
     unsigned clean = 0;
 
@@ -171,15 +175,15 @@
         struct world_result result;
 
         options.faults = 0;
-        options.late = late;
+        options.late_episodes = late_episodes;
         if (wide) {
             world_widen(&options);
         }
-        world_play(&options, &result);
+        world_run(&options, &result);
         clean += result.violation == NULL;
         if (result.violation != NULL) {
-            printf("calm, wide %d, late %u, seed %u: %s\n", wide, late,
-                   options.seed, result.violation);
+            printf("calm, wide %d, late %u, seed %u: %s\n", wide,
+                   late_episodes, options.seed, result.violation);
         }
         g_free(result.violation);
         g_free(result.faults);
@@ -187,73 +191,78 @@
     return clean;
 }
 
-/* However full the service is, a job that could run does within 3 s.  Before,
- * 6 of 100 such days, and 5 with late workers, had jobs that stood still
- * beside room that was kept from them (see test_still). */
+/* However full the service is, a job that could run does so within 3 s.  On 6
+ * of 100 such days, and on 5 with late workers, jobs once waited longer beside
+ * free capacity that was reserved for other work (see test_idle_causes). */
 static void
-test_nothing_stands_still_on_a_calm_day(void)
+test_no_job_waits_without_cause_on_a_calm_day(void)
 {
     CU_ASSERT_EQUAL(calm_days(CALM_DAYS, false, 0), CALM_DAYS);
-    CU_ASSERT_EQUAL(calm_days(CALM_DAYS, false, LATE), CALM_DAYS);
+    CU_ASSERT_EQUAL(calm_days(CALM_DAYS, false, LATE_EPISODES), CALM_DAYS);
 }
 
-/* The same where far more is asked than there is: before, 47 of 48 days. */
+/* The same where jobs need far more than there is; this once failed on 47 of
+ * 48 days. */
 static void
-test_nothing_stands_still_on_a_wide_day(void)
+test_no_job_waits_without_cause_on_a_wide_day(void)
 {
     CU_ASSERT_EQUAL(calm_days(WIDE_DAYS, true, 0), WIDE_DAYS);
-    CU_ASSERT_EQUAL(calm_days(WIDE_DAYS, true, LATE), WIDE_DAYS);
+    CU_ASSERT_EQUAL(calm_days(WIDE_DAYS, true, LATE_EPISODES), WIDE_DAYS);
 }
 
-/* Seen: a task that takes a whole worker waits 3 s beside two free ones.
- * Others that had stood still took all that may be given up of room that is
- * kept for urgent work; without that bound the day is clean. */
+/* On this day a task that takes a whole worker once waited for 3 s beside two
+ * free workers: other waiting jobs had borrowed all of the reserved headroom
+ * that may be borrowed.  Without a limit on borrowing the day has no
+ * violation. */
 static void
-test_a_job_stands_still_beside_room_that_is_kept(void)
+test_a_job_waits_beside_reserved_headroom(void)
 {
     struct world_options options = day(900117);
     struct world_result result;
 
-    options.orders = true;
-    world_play(&options, &result);
+    options.reads_commands = true;
+    world_run(&options, &result);
     CU_ASSERT_PTR_NULL(result.violation);
     g_free(result.violation);
     g_free(result.faults);
 }
 
-/* Seeds that once ended with a violation, each with its cause. */
+/* Seeds that once ended with a violation, each with its cause: a fault of the
+ * checker, of the emulator's load, or of the product. */
 static void
 test_seeds_that_once_failed(void)
 {
     static const uint32_t seeds[] = {
-        11,   /* judge: a lapsed lease between two runs was not seen */
-        29,   /* judge: refused before its caller had any answer */
-        364,  /* judge: a gang whose member's worker had crashed */
-        6494, /* a VM showed a job as cancelled before it had read its end */
-        5770, /* the end's record was written again, after a cancellation */
-        5663, /* an owner forgot a job before its replica had read its end */
-        6005, /* a second attempt to cancel replaced the first one's place */
-        7003259, /* a new owner's first hold hid that a lease was over */
-        950258,  /* load: three of four workers of a data centre left */
-        7000554, /* load: once-only work that no guarantee left room for */
+        11,   /* checker: missed a lease that expired between two runs */
+        29,   /* checker: a job refused before its caller had an answer */
+        364,  /* checker: a gang with a member whose worker had crashed */
+        6494, /* a VM showed a job as cancelled before it read its end */
+        5770, /* the record of a job's end was written again, after a
+                 cancellation */
+        5663, /* an owner dropped a job before its replica had read its end */
+        6005, /* a second attempt to cancel replaced the first one's entry */
+        7003259, /* a new owner's first poll hid that a lease had expired */
+        950258,  /* load: three of four workers of a data centre drained */
+        7000554, /* load: an at-most-once job larger than what guarantees
+                    leave */
     };
 
     for (size_t i = 0; i < G_N_ELEMENTS(seeds); i++) {
-        CU_ASSERT_TRUE(plays_clean(seeds[i]));
+        CU_ASSERT_TRUE(runs_clean(seeds[i]));
     }
 }
 
 static const struct test tests[] = {
-    {"fixed seeds", test_days_of_fixed_seeds_keep_every_promise},
+    {"fixed seeds", test_days_of_fixed_seeds_keep_every_guarantee},
     {"same seed, same day", test_the_same_seed_is_the_same_day},
-    {"calm day", test_a_calm_day_completes_all_that_can_be},
-    {"kept room", test_a_job_stands_still_beside_room_that_is_kept},
+    {"calm day", test_every_job_of_a_calm_day_ends},
+    {"reserved headroom", test_a_job_waits_beside_reserved_headroom},
     {"seeds that once failed", test_seeds_that_once_failed},
     {"crashing tasks", test_tasks_that_crash_workers_are_given_up},
-    {"all together", test_all_of_it_together},
-    {"restarts", test_workers_that_start_again_under_their_ids},
-    {"calm days", test_nothing_stands_still_on_a_calm_day},
-    {"wide days", test_nothing_stands_still_on_a_wide_day},
+    {"all faults of workers", test_all_faults_of_workers_together},
+    {"restarts", test_workers_that_restart_under_their_ids},
+    {"calm days", test_no_job_waits_without_cause_on_a_calm_day},
+    {"wide days", test_no_job_waits_without_cause_on_a_wide_day},
 };
 
 TEST_MAIN("world", tests)
