--- a/include/curlewcart/cw_cordons.h
+++ b/include/curlewcart/cw_cordons.h
@@ -1,5 +1,5 @@
 /* Cordons: commands of operators that nothing may be started in a data centre
- * until the cordon is withdrawn.  Runs that are there continue.
+ * until the cordon is withdrawn.  Runs in the data centre continue.
  *
  * A cordon is a record of a keyed topic of the store, which every VM follows;
  * a record without a value withdraws it.  All functions are called with the
@@ -40,8 +40,8 @@
 void cw_cordons_loaded(void *cordons);
 void cw_cordons_record(void *cordons, const struct cw_store_record *record);
 
-/* Time, in ms, since this VM read of the data centre's cordon; -1 if there is
- * no cordon. */
+/* Time, in ms, since this VM first read the data centre's cordon; -1 if there
+ * is no cordon. */
 int64_t cw_cordons_age_ms(const struct cw_cordons *cordons, const char *dc,
                           struct timespec now);
 
@@ -52,8 +52,8 @@
 /* Number of data centres that are cordoned. */
 unsigned cw_cordons_count(const struct cw_cordons *cordons);
 
-/* Age of the information, in ms: a later change to a cordon may not have been
- * read yet.  INT64_MAX before the first load. */
+/* Age of the data on cordons, in ms: changes within this time may not have
+ * been read yet.  INT64_MAX before the first load. */
 int64_t
 cw_cordons_staleness_ms(const struct cw_cordons *cordons, struct timespec now);
 
--- a/include/curlewcart/cw_entry.h
+++ b/include/curlewcart/cw_entry.h
@@ -50,14 +50,14 @@
 /* Outcome of a submission or cancellation. */
 enum cw_entry_outcome {
     CW_ENTRY_STORED,      /* the store has confirmed it */
-    CW_ENTRY_NOT_DONE,    /* it is not stored and will not be */
+    CW_ENTRY_NOT_DONE,    /* it was not stored and will not be */
     CW_ENTRY_UNCONFIRMED, /* it may be stored; send it again with the same id
                            */
     CW_ENTRY_NO_JOB,      /* a cancellation: no such job, or it has ended */
     CW_ENTRY_OTHER_JOB,   /* the id belongs to another job */
 };
 
-/* Receives the outcome of a change. */
+/* Receives the outcome of a submission or cancellation. */
 typedef void (*cw_entry_done)(void *context, enum cw_entry_outcome outcome);
 
 /* Stores a job.  Takes ownership of `spec` (freed by xdr_free and g_free).
@@ -70,9 +70,10 @@
 cw_entry_cancel(struct cw_entry *entry, const struct cw_entry_route *route,
                 unsigned budget_ms, cw_entry_done done, void *context);
 
-/* Gets the phase of a job as known here: CW_OK, CW_E_NOT_FOUND, or
- * CW_REF_NO_LEDGER if this VM does not know: it has not read the store lately
- * and does not know the job, or it is isolated and the job had not ended. */
+/* Gets the phase of a job in this VM's replica.  Returns CW_OK,
+ * CW_E_NOT_FOUND, or CW_REF_NO_LEDGER if the replica cannot tell: the job is
+ * not in it and its data is more than 2 s old, or this VM is isolated and the
+ * job has not ended in it. */
 enum cw_result
 cw_entry_query(struct cw_entry *entry, const struct cw_entry_route *route,
                unsigned *phase);
@@ -81,37 +82,39 @@
 typedef void (*cw_entry_answered)(void *context, enum cw_result result,
                                   unsigned phase);
 
-/* Like cw_entry_query, but first reads from the store if records may have been
- * appended that are not known here; answers after 400 ms at the latest.  It
- * serves callers that poll: VMs need not read continuously to report the end
- * of a job at once. */
+/* Like cw_entry_query, but first reads from the store if the replica may lack
+ * records; answers after 400 ms at the latest.  Meant for callers that poll:
+ * with it VMs need not read continuously to report the end of a job at once.
+ */
 void cw_entry_query_fresh(struct cw_entry *entry,
                           const struct cw_entry_route *route,
                           cw_entry_answered on_answer, void *context);
 
 /* Counts the jobs of the queue that have not begun.  Returns CW_OK, or
- * CW_REF_NO_LEDGER if this VM has not read the store lately. */
+ * CW_REF_NO_LEDGER if the replica's data is more than 2 s old. */
 enum cw_result
 cw_entry_count_waiting(struct cw_entry *entry, const struct cw_queue *queue,
                        unsigned *count);
 
-/* True if callers should be sent here. */
+/* True if this VM is ready for callers' requests. */
 bool cw_entry_is_ready(struct cw_entry *entry);
 
-/* Sets whether this VM is isolated from the store and the other VMs.  While it
- * is, changes fail at once and queries about jobs that have not ended are not
- * answered from memory, so that callers go to another VM. */
+/* Sets whether this VM is isolated from the store and the other VMs.  While
+ * isolated, it refuses submissions and cancellations at once and does not
+ * answer queries about jobs that have not ended, so that callers go to another
+ * VM. */
 void cw_entry_set_isolated(struct cw_entry *entry, bool isolated);
 
-/* This VM is leaving: it is not ready any more, but completes the requests
- * that it has. */
+/* Begins the shutdown of this VM: it is not ready any more, but completes
+ * pending requests. */
 void cw_entry_leave(struct cw_entry *entry);
 bool cw_entry_is_leaving(const struct cw_entry *entry);
 
 /* Number of requests that are not answered yet. */
 unsigned cw_entry_pending(const struct cw_entry *entry);
 
-/* Retries and answers what is due; returns the time of the next call. */
+/* Sends retries and answers that are due; returns the time of the next call.
+ */
 struct timespec cw_entry_tick(struct cw_entry *entry, struct timespec now);
 
 #endif
--- a/include/curlewcart/cw_follower.h
+++ b/include/curlewcart/cw_follower.h
@@ -1,9 +1,9 @@
 /* Follows one keyed partition of the store: loads the newest record of each
- * key, then reads what is appended, and loads again if the store no longer
- * retains the records that follow.
+ * key, then reads new records, and loads again if the store no longer retains
+ * the records that follow.
  *
  * All functions are called with the engine's lock held.  A record may be
- * delivered more than once; compare its offset.
+ * delivered more than once; compare offsets to detect this.
  */
 #ifndef CURLEWCART_CW_FOLLOWER_H
 #define CURLEWCART_CW_FOLLOWER_H
@@ -33,7 +33,8 @@
     struct cw_clock *clock;
     const char *topic; /* borrowed, static */
     unsigned partition;
-    unsigned wait_ms; /* how long a read waits at the store; 0: not at all */
+    unsigned wait_ms; /* how long a read waits at the store for a record; 0:
+                         does not wait */
     unsigned read_interval_ms; /* minimum, from an answer to the next read */
     struct cw_follower_handler handler;
 };
@@ -63,13 +64,13 @@
  * records appended before that time were delivered. */
 struct timespec cw_follower_fresh_as_of(const struct cw_follower *follower);
 
-/* True if the last answer reached the end of the partition: records that are
- * still missing were appended after it. */
+/* True if the last answer reached the end of the partition: any record that is
+ * missing was appended later. */
 bool cw_follower_at_end(const struct cw_follower *follower);
 
 /* True if the last answer reached the end of the partition and the read in
- * flight waits at the store for the next record: as far as this VM can know,
- * no record is missing. */
+ * flight waits at the store for the next record: no record is known to be
+ * missing. */
 bool cw_follower_is_current(const struct cw_follower *follower);
 
 /* Changes the minimum time from an answer to the next read. */
--- a/include/curlewcart/cw_load_gate.h
+++ b/include/curlewcart/cw_load_gate.h
@@ -7,7 +7,7 @@
  * arrived is an estimate of the queue's length.  A VM with less than a full
  * core delays its reads by up to twice that time, which is milliseconds if
  * few VMs start.  If many start, a VM that is too weak to own the shard
- * delays its reads by about the duration of a take-over.
+ * delays its reads by about the duration of a takeover.
  *
  * Pure: no I/O and no clock of its own.
  */
@@ -20,7 +20,8 @@
 /* State of one VM; initialise with cw_load_gate_init. */
 struct cw_load_gate {
     struct timespec started_at;
-    struct timespec due; /* when it opens, unless a configuration arrives */
+    struct timespec due; /* when the first read is allowed; an arriving
+                            configuration may change it */
     unsigned capacity_milli;
     bool config_arrived;
     bool open;
@@ -31,7 +32,7 @@
 void cw_load_gate_init(struct cw_load_gate *gate, unsigned capacity_milli,
                        struct timespec now);
 
-/* True if the log may be read, and from then on.  `configured` is true once a
+/* True if the log may be read; stays true.  `configured` is true once a
  * configuration has arrived. */
 bool cw_load_gate_is_open(struct cw_load_gate *gate, bool configured,
                           struct timespec now);
--- a/include/curlewcart/cw_replica.h
+++ b/include/curlewcart/cw_replica.h
@@ -34,7 +34,7 @@
 #define CW_STANDBY_READ_INTERVAL_MS 150
 #define CW_ON_DEMAND_READ_INTERVAL_MS 500
 
-/* A job as far as its records were read. */
+/* A job, built from those of its records that were read. */
 struct cw_replica_job {
     char *id;
     struct cw_work_spec *spec; /* NULL while only other records were read */
@@ -52,10 +52,9 @@
     GPtrArray *hint_keys;   /* char *, of `hints` */
 };
 
-/* A worker whose lease neither the owner that wrote the note nor a later one
- * extends until the note is dropped.  `read_at` is later than the time of
- * writing, so that the lease has expired `left_ms` after `read_at`, on this
- * VM's clock. */
+/* Note that neither the owner that wrote it nor a later one extends a worker's
+ * lease until the note is dropped.  The note was written before `read_at`, so
+ * that the lease has expired `left_ms` after `read_at`, on this VM's clock. */
 struct cw_replica_lease_note {
     uint64_t offset;
     struct timespec read_at;
@@ -66,13 +65,16 @@
  * it has recorded. */
 struct cw_replica_epoch {
     uint64_t epoch;         /* 0: none is known */
-    unsigned lease_ms;      /* longest lease it gave, on a worker's clock */
-    uint64_t settled_below; /* leases given under epochs below have expired */
+    unsigned lease_ms;      /* longest lease granted, on a worker's clock */
+    uint64_t settled_below; /* leases granted under lower epochs have expired
+                             */
     uint64_t offset;
-    uint64_t end_epoch;          /* the VM no longer extends leases given under
-                                    this epoch or an earlier one; 0: none */
+    uint64_t end_epoch;          /* the VM no longer extends leases granted
+                                    under this epoch or an earlier one;
+                                    0: none */
     struct timespec end_read_at; /* on this VM's clock */
-    unsigned left_ms;            /* after `end_read_at` they have expired */
+    unsigned left_ms;            /* this long after `end_read_at` all these
+                                    leases have expired */
     GHashTable *sooner;          /* worker -> ms: leases that expire before */
     uint64_t end_offset;
 };
@@ -82,7 +84,7 @@
 bool cw_replica_epoch_has_ended(const struct cw_replica_epoch *epoch);
 
 /* Upper limit of the time from `end_read_at` to the expiry of the worker's
- * lease, if that VM gave it; with `worker` NULL, of any worker's lease. */
+ * lease, if that VM granted it; with `worker` NULL, of any worker's lease. */
 int64_t cw_replica_epoch_lease_left_ms(const struct cw_replica_epoch *epoch,
                                        const char *worker);
 
@@ -115,7 +117,7 @@
 
 struct cw_replica;
 
-/* Creates a replica; drive it by ticks of its follower. */
+/* Creates a replica; call cw_follower_tick on its follower to run it. */
 struct cw_replica *cw_replica_create(const struct cw_replica_options *options);
 void cw_replica_free(struct cw_replica *replica);
 
@@ -126,7 +128,7 @@
 /* The follower of the log of jobs.  Borrowed. */
 struct cw_follower *cw_replica_follower(struct cw_replica *replica);
 
-/* A job by id, or NULL.  Borrowed until its records are dropped. */
+/* A job by id, or NULL.  Borrowed until its records are deleted. */
 struct cw_replica_job *
 cw_replica_find_job(const struct cw_replica *replica, const char *id);
 
@@ -146,8 +148,8 @@
 void cw_replica_apply(struct cw_replica *replica,
                       const struct cw_store_record *record);
 
-/* Number of jobs of a queue and an account (NULL: of any) none of whose tasks
- * has been started. */
+/* Number of jobs of a queue and an account that have not ended and none of
+ * whose tasks has been started.  NULL matches any queue or account. */
 unsigned cw_replica_count_waiting(const struct cw_replica *replica,
                                   const char *queue, const char *account);
 
--- a/include/curlewcart/cw_routing.h
+++ b/include/curlewcart/cw_routing.h
@@ -17,6 +17,8 @@
     char *service;
     unsigned priority;
     unsigned max_attempts;
+    /* A job is to end within this many thousandths of its longest chain of
+     * steps plus `target_latency_ms`. */
     unsigned stretch_milli;
     unsigned target_latency_ms;
     unsigned timeout_ms;
@@ -45,8 +47,8 @@
     gint references;
     uint64_t version;
     unsigned body_bytes_max;
-    bool enforces_residency; /* accounts may use only their data centres, and
-                                an account that is not listed here none */
+    bool enforces_residency; /* accounts may use only their data centres;
+                                unlisted accounts may use none */
     GPtrArray *closed_dcs;   /* char *: data centres that take no new work */
     GPtrArray *queues;       /* struct cw_queue */
     GPtrArray *services;     /* struct cw_service */
@@ -72,8 +74,8 @@
 struct cw_account *cw_routing_add_account(struct cw_routing *routing);
 struct cw_service *cw_routing_add_service(struct cw_routing *routing);
 
-/* Finds the queue for a host (a port after it is ignored) and a path, or
- * NULL.  Borrowed. */
+/* Returns the queue for a host, whose port is ignored, and a path, or NULL.
+ * Borrowed. */
 const struct cw_queue *
 cw_routing_find_queue(const struct cw_routing *routing, const char *host,
                       const char *path);
--- a/include/curlewcart/cw_store.h
+++ b/include/curlewcart/cw_store.h
@@ -3,7 +3,7 @@
  * partitions to their members.
  *
  * Calls never block.  Each leads to exactly one callback, made with the
- * engine's lock held (see cw_vm.h).  What a callback receives is borrowed.
+ * engine's lock held (see cw_vm.h).  The arguments of a callback are borrowed.
  */
 #ifndef CURLEWCART_CW_STORE_H
 #define CURLEWCART_CW_STORE_H
@@ -14,8 +14,9 @@
 
 enum cw_store_status {
     CW_STORE_OK,
-    CW_STORE_REFUSED,  /* not carried out: busy, over a rate, unreachable */
-    CW_STORE_UNKNOWN,  /* no answer: carried out, perhaps later, or not */
+    CW_STORE_REFUSED,  /* not carried out: busy, rate limit, unreachable */
+    CW_STORE_UNKNOWN,  /* no answer: may or may not be carried out, now or
+                          later */
     CW_STORE_CONFLICT, /* the partition does not end at `expected_end` */
     CW_STORE_FENCED,   /* a writer with a higher epoch has appended */
     CW_STORE_OUT_OF_SEQUENCE, /* not the writer's next sequence number */
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -1,5 +1,5 @@
-/* Callers' requests: access checks, changes until the store has confirmed
- * them, and queries. */
+/* Callers' requests: access checks, submissions and cancellations until the
+ * store has confirmed them, and queries. */
 #include "curlewcart/cw_entry.h"
 
 #include <inttypes.h>
@@ -10,20 +10,22 @@
 
 enum {
     /* With older data this VM reports neither that a job does not exist nor
-     * how many jobs wait; callers accept data that is 2 s old. */
+     * the number of waiting jobs; callers accept data that is 2 s old. */
     FRESH_MAX_AGE_MS = 2000,
-    /* With older data this VM is not ready: callers go to another one. */
+    /* With older data this VM is not ready: callers go to another VM. */
     READY_MAX_AGE_MS = 2500,
     APPEND_TIMEOUT_MS = 700,
+    /* Also the interval at which waiting cancellations are checked. */
     RETRY_MIN_MS = 60,
     RETRY_MAX_MS = 400,
     PENDING_MAX = 2000,
     /* A read takes about 5 ms, and 250 ms while the store is slow.  If it
-     * takes longer than this, a query is answered with what is known here. */
+     * takes longer than this, a query is answered from the replica as it is.
+     */
     QUERY_WAIT_MAX_MS = 400
 };
 
-/* A submission or cancellation that is being stored. */
+/* A submission or cancellation in progress. */
 struct change {
     struct cw_entry *entry;
     enum cw_work_key kind;
@@ -39,12 +41,14 @@
     unsigned tries;
     unsigned retry_ms;
     bool in_flight;
-    bool answered; /* the caller was answered, an append is in flight */
-    bool unsure;   /* an append had no answer: it may be stored */
-    bool stored;   /* in the log at `stored_offset`; a cancellation then
-                      waits until the replica has read up to there */
+    bool answered;        /* the caller was answered, an append is in flight */
+    bool outcome_unknown; /* an append got no answer: the change may be stored
+                           */
+    bool stored; /* a cancellation's record is in the log at `stored_offset`;
+                    the caller is answered once the replica has read it */
     uint64_t stored_offset;
-    bool awaits_read; /* the job is unknown until the replica has read on */
+    bool awaits_read; /* the cancelled job is not in the replica, which first
+                         has to read newer records */
     struct timespec awaits_read_since;
     enum cw_store_status last_status;
 };
@@ -53,10 +57,10 @@
 struct query {
     char *id;
     char *queue;
-    char *account; /* NULL: of any */
+    char *account; /* NULL: any */
     cw_entry_answered on_answer;
     void *context;
-    struct timespec asked_at;
+    struct timespec received_at;
 };
 
 struct cw_entry {
@@ -64,7 +68,7 @@
     struct cw_routing *routing;
     GPtrArray *changes; /* struct change */
     GPtrArray *queries; /* struct query */
-    bool leaving;
+    bool shutting_down; /* not ready; pending requests are completed */
     bool isolated;
 };
 
@@ -104,7 +108,8 @@
 cw_entry_free(struct cw_entry *entry)
 {
     if (entry != NULL) {
-        /* Callers get no answer: their connections end with the process. */
+        /* Callers that wait are not answered, as their connections close when
+         * the process exits. */
         for (guint i = 0; i < entry->changes->len; i++) {
             change_free(entry->changes->pdata[i]);
         }
@@ -186,13 +191,13 @@
 static void
 give_up(struct change *change)
 {
-    conclude(change,
-             change->unsure ? CW_ENTRY_UNCONFIRMED : CW_ENTRY_NOT_DONE);
+    conclude(change, change->outcome_unknown ? CW_ENTRY_UNCONFIRMED
+                                             : CW_ENTRY_NOT_DONE);
 }
 
-/* Answers a cancellation that is in the log once the replica has read up to
- * it.  Whether it takes effect is not known before, as the job may have ended
- * earlier in the log. */
+/* Answers a cancellation that is in the log once the replica has read its
+ * record.  Only then is it known whether the cancellation takes effect, as the
+ * job may have ended earlier in the log. */
 static void
 check_cancel(struct change *change)
 {
@@ -216,7 +221,8 @@
 static void
 change_stored(struct change *change, uint64_t offset)
 {
-    /* Reads at once: the change shows on this VM only once it was read. */
+    /* Reads at once: the change is visible on this VM only after it was read.
+     */
     cw_follower_read_now(cw_replica_follower(change->entry->options.replica));
     if (change->answered) {
         g_ptr_array_remove_fast(change->entry->changes, change);
@@ -250,7 +256,7 @@
         return;
     }
     if (result->status == CW_STORE_UNKNOWN) {
-        change->unsure = true;
+        change->outcome_unknown = true;
     }
     cw_count_code(change->entry->options.counters, CW_RETRY_APPEND);
     change->retry_ms = CLAMP(change->retry_ms * 2, RETRY_MIN_MS, RETRY_MAX_MS);
@@ -260,9 +266,9 @@
     }
 }
 
-/* Key of the change's record.  Each attempt to cancel has its own key, as it
- * must not replace an earlier attempt, whose offset decides whether the
- * cancellation takes effect. */
+/* Returns the key of the change's record.  Each attempt to cancel has its own
+ * key, so that it does not replace an earlier attempt, whose offset decides
+ * whether the cancellation takes effect. */
 static char *
 change_key(const struct change *change)
 {
@@ -368,8 +374,8 @@
 
 /* ---- cancellation ---- */
 
-/* The job if it belongs to the queue and the account (NULL: to any), or
- * NULL. */
+/* Returns the job with this id if it is in the queue and belongs to the
+ * account, or NULL.  A NULL `account` matches any account. */
 static const struct cw_replica_job *
 find_job(const struct cw_entry *entry, const char *id, const char *queue,
          const char *account)
@@ -393,8 +399,8 @@
     return route->account != NULL ? route->account->name : NULL;
 }
 
-/* Answers a cancellation, and returns true, if the job has ended or was
- * cancelled, so that nothing has to be appended. */
+/* If the job has ended or was cancelled, so that no record has to be appended,
+ * answers the cancellation and returns true. */
 static bool
 conclude_if_over(struct change *change, const struct cw_replica_job *job)
 {
@@ -426,7 +432,7 @@
     change->account = g_strdup(account_name(route));
     job = find_job(entry, change->id, change->queue, change->account);
     if (job == NULL) {
-        /* Another VM may just have stored the job. */
+        /* Another VM may have stored the job a moment ago. */
         change->awaits_read = true;
         change->awaits_read_since = change->began;
         cw_follower_read_now(cw_replica_follower(entry->options.replica));
@@ -437,7 +443,8 @@
     }
 }
 
-/* Looks up the job of a cancellation again, which was unknown so far. */
+/* Looks up the job of a cancellation again, if the job was not known before.
+ */
 static void
 recheck_cancel(struct change *change, struct timespec now)
 {
@@ -522,7 +529,7 @@
     query->account = g_strdup(account_name(route));
     query->on_answer = on_answer;
     query->context = context;
-    query->asked_at = cw_clock_now(entry->options.clock);
+    query->received_at = cw_clock_now(entry->options.clock);
     g_ptr_array_add(entry->queries, query);
     cw_follower_read_now(follower);
 }
@@ -551,9 +558,9 @@
     for (guint i = entry->queries->len; i > 0; i--) {
         struct query *query = entry->queries->pdata[i - 1];
         struct timespec deadline =
-            cw_time_add_ms(query->asked_at, QUERY_WAIT_MAX_MS);
+            cw_time_add_ms(query->received_at, QUERY_WAIT_MAX_MS);
 
-        if (current || !cw_time_before(fresh, query->asked_at) ||
+        if (current || !cw_time_before(fresh, query->received_at) ||
             !cw_time_before(now, deadline))
         {
             answer_query(entry, query);
@@ -580,8 +587,8 @@
 bool
 cw_entry_is_ready(struct cw_entry *entry)
 {
-    return !entry->leaving && !entry->isolated && entry->routing != NULL &&
-           is_fresh(entry, READY_MAX_AGE_MS);
+    return !entry->shutting_down && !entry->isolated &&
+           entry->routing != NULL && is_fresh(entry, READY_MAX_AGE_MS);
 }
 
 void
@@ -593,13 +600,13 @@
 void
 cw_entry_leave(struct cw_entry *entry)
 {
-    entry->leaving = true;
+    entry->shutting_down = true;
 }
 
 bool
 cw_entry_is_leaving(const struct cw_entry *entry)
 {
-    return entry->leaving;
+    return entry->shutting_down;
 }
 
 unsigned
@@ -622,9 +629,9 @@
             continue;
         }
         if (change->in_flight) {
-            /* Answers the caller in time though the append is in flight. */
+            /* Answers the caller in time though an append is in flight. */
             if (!cw_time_before(now, change->deadline)) {
-                change->unsure = true;
+                change->outcome_unknown = true;
                 give_up(change);
             }
             else {
@@ -634,8 +641,9 @@
         else if (change->stored) {
             cw_time_earlier(&next, cw_time_add_ms(now, RETRY_MIN_MS));
             if (!cw_time_before(now, change->deadline)) {
-                change->unsure = true; /* stored; whether it takes effect is
-                                          not known here yet */
+                /* The cancellation is stored, but the replica has not read
+                 * whether it takes effect. */
+                change->outcome_unknown = true;
                 give_up(change);
             }
             else {
--- a/src/relay/internal/relay_private.h
+++ b/src/relay/internal/relay_private.h
@@ -14,8 +14,9 @@
 
 /* ---- relay_rpc.c: ONC RPC over UDP without blocking ---- */
 
-/* Where to send the answer to a request. */
-struct relay_caller {
+/* Sender of a request; the answer goes to this address with this transaction
+ * id. */
+struct relay_requester {
     struct sockaddr_in address;
     uint32_t xid;
 };
@@ -26,7 +27,7 @@
 struct relay_rpc_options {
     const char *address; /* HOST:PORT */
     /* A request was received; answer it with relay_rpc_answer. */
-    void (*request)(void *context, const struct relay_caller *caller,
+    void (*request)(void *context, const struct relay_requester *requester,
                     const struct cw_relay_request *request);
     void *context;
 };
@@ -56,7 +57,8 @@
                     void *context);
 
 /* Answers a request. */
-void relay_rpc_answer(struct relay_rpc *rpc, const struct relay_caller *caller,
+void relay_rpc_answer(struct relay_rpc *rpc,
+                      const struct relay_requester *requester,
                       const struct cw_relay_answer *answer);
 
 /* Receives and processes the datagrams that have arrived. */
@@ -89,17 +91,17 @@
 };
 
 /* Carries out another VM's request at the store and answers it. */
-void
-relay_serve(struct relay_server *server, const struct relay_caller *caller,
-            const struct cw_relay_request *request);
+void relay_serve(struct relay_server *server,
+                 const struct relay_requester *requester,
+                 const struct cw_relay_request *request);
 
-/* Answers CW_STORE_REFUSED: this VM cannot reach the store either. */
+/* Answers CW_STORE_REFUSED, as this VM cannot reach the store either. */
 void relay_serve_refuse(struct relay_server *server,
-                        const struct relay_caller *caller);
+                        const struct relay_requester *requester);
 
 /* ---- relay_peers.c ---- */
 
-/* Time to the next query for the members while no other VM is known. */
+/* Time between requests for the members while no other VM is known. */
 enum { RELAY_NO_PEERS_INTERVAL_MS = 1500 };
 
 /* Another VM. */
@@ -122,16 +124,19 @@
     unsigned failures; /* consecutive failed calls to the store */
     bool store_reachable;
     struct timespec unreachable_since;
-    struct timespec peers_paused_until; /* no call is sent to other VMs */
+    struct timespec peers_paused_until; /* until then no call to the store is
+                                           sent through another VM */
     bool join_in_flight;
     struct timespec join_sent;
-    bool store_suspect; /* a call has failed or a join is overdue */
+    bool store_suspect; /* since the store last answered, a call has failed or
+                           a join is overdue */
     struct timespec suspect_since;
     struct timespec ping_due;
-    bool isolated;
-    bool members_in_flight;
+    bool isolated; /* the store does not answer, nor do more than half of the
+                      pinged VMs */
+    bool members_request_in_flight;
     struct timespec members_due;
-    bool key_in_flight;
+    bool key_request_in_flight;
     struct timespec key_due;
 };
 
@@ -149,15 +154,15 @@
 struct peer *
 relay_find_peer(const struct cw_relay *relay, const char *address);
 
-/* The VM that was chosen last, or the next one that is not avoided; NULL if
- * there is none. */
+/* Returns the VM that was chosen last or, if that is avoided, the next one
+ * that is not; NULL if all are avoided. */
 struct peer *relay_choose_peer(struct cw_relay *relay, struct timespec now);
 
 /* Frees a struct peer. */
 void relay_peer_free(gpointer peer);
 
-/* Requests the members of the group from the store, which also shows whether
- * the store answers. */
+/* Requests the members of the group from the store, also to detect whether the
+ * store answers. */
 void relay_request_members(struct cw_relay *relay);
 
 /* Pings other VMs while the store does not answer, and decides whether this VM
--- a/src/relay/relay.c
+++ b/src/relay/relay.c
@@ -13,17 +13,17 @@
 enum {
     PEERS_TRIED_MAX = 3,
     PEER_TIMEOUT_MS = 350,
-    /* How long a VM is avoided that did not answer, or cannot reach the store
-     * either. */
+    /* How long a VM is avoided after a call that was sent through it was
+     * refused or got no answer. */
     PEER_AVOID_MS = 1500,
     PEER_READ_WAIT_MAX_MS = 250,
     /* Well below the limit of an answer (CW_RELAY_BYTES_MAX): a larger
      * datagram occupies a slow link for 250 ms, and delays later datagrams
      * or causes their loss. */
     PEER_READ_MAX_KB = 24,
-    /* If the store and PEERS_TRIED_MAX VMs refuse a call, the store serves no
-     * VM, or its limit on the rate of calls is exceeded: for this long no call
-     * goes to other VMs. */
+    /* If PEERS_TRIED_MAX VMs refuse a call, the store serves no VM, or its
+     * limit on the rate of calls is exceeded: for this long no call to the
+     * store is sent through another VM. */
     PEERS_PAUSE_MS = 2000
 };
 
@@ -33,9 +33,9 @@
     struct cw_relay_request request;
     unsigned timeout_ms;
     unsigned peers_tried;
-    unsigned peers_refused; /* other VMs that refused it */
+    unsigned peers_refused; /* other VMs that refused the call */
     bool direct_tried;
-    bool outcome_unknown; /* it may have been carried out */
+    bool outcome_unknown; /* the call may have been carried out */
     char *peer_address;
     void (*appended)(void *, const struct cw_store_append_result *);
     void (*page)(void *, const struct cw_store_page *);
@@ -46,7 +46,8 @@
 /* A read that was sent to the store directly. */
 struct direct_read {
     struct cw_relay *relay;
-    struct relay_call *call; /* NULL once it was sent through another VM */
+    struct relay_call *call; /* NULL once the call was sent through another VM
+                              */
 };
 
 static void try_next_route(struct relay_call *call);
@@ -163,7 +164,7 @@
     call->outcome_unknown =
         call->outcome_unknown || status == CW_STORE_UNKNOWN;
     if (status == CW_STORE_REFUSED && call->relay->store_reachable) {
-        deliver_failure(call); /* a single refusal: the caller retries */
+        deliver_failure(call); /* a first refusal: the caller retries */
     }
     else {
         try_next_route(call);
@@ -303,8 +304,8 @@
                    on_peer_answer, call);
 }
 
-/* True if the call may go through another VM, provided that there is one that
- * is not avoided. */
+/* True if the call may be sent through another VM, provided that one is not
+ * avoided. */
 static bool
 can_use_peers(const struct relay_call *call)
 {
@@ -336,9 +337,9 @@
 
 /* Sends the direct reads in flight through other VMs once the store is
  * suspected not to answer this VM: a read that waits for records would fail a
- * second later than other calls.  If the store does answer such a read, only
- * the status is used.  Reads of newest records are not diverted, as their
- * pages do not fit into an answer. */
+ * second later than other calls.  If the store still answers the direct read,
+ * only the status of that answer is used.  Reads of newest records are not
+ * diverted, as their pages do not fit into a datagram. */
 static void
 divert_reads(struct cw_relay *relay)
 {
@@ -468,16 +469,16 @@
 /* ---- public ---- */
 
 static void
-on_request(void *context, const struct relay_caller *caller,
+on_request(void *context, const struct relay_requester *requester,
            const struct cw_relay_request *request)
 {
     struct cw_relay *relay = context;
 
     if (relay->store_reachable) {
-        relay_serve(&relay->server, caller, request);
+        relay_serve(&relay->server, requester, request);
     }
     else {
-        relay_serve_refuse(&relay->server, caller);
+        relay_serve_refuse(&relay->server, requester);
     }
 }
 
@@ -509,7 +510,7 @@
         return NULL;
     }
     relay->address = relay_rpc_address(relay->rpc);
-    /* Makes VMs that lose the store together use different VMs. */
+    /* VMs that lose the store at the same time start with different VMs. */
     relay->next_peer = g_str_hash(relay->address);
     relay->server.rpc = relay->rpc;
     relay->server.direct = options->direct;
@@ -564,7 +565,7 @@
         divert_reads(relay);
         cw_time_earlier(&next, relay->ping_due);
     }
-    if (!relay_rpc_has_key(relay->rpc) && !relay->key_in_flight) {
+    if (!relay_rpc_has_key(relay->rpc) && !relay->key_request_in_flight) {
         if (!cw_time_before(now, relay->key_due)) {
             relay_request_key(relay);
         }
@@ -572,7 +573,7 @@
             cw_time_earlier(&next, relay->key_due);
         }
     }
-    if (!relay->members_in_flight) {
+    if (!relay->members_request_in_flight) {
         if (!cw_time_before(now, relay->members_due)) {
             relay_request_members(relay);
         }
--- a/src/relay/relay_peers.c
+++ b/src/relay/relay_peers.c
@@ -1,4 +1,4 @@
-/* The other VMs: their addresses, whether they answer, and the key by which
+/* The other VMs: their addresses, whether they answer, and the key with which
  * VMs authenticate messages to each other. */
 #include <inttypes.h>
 #include <string.h>
@@ -9,7 +9,8 @@
 #include "relay/internal/relay_private.h"
 
 enum {
-    /* After this many consecutive failed calls the store is unreachable. */
+    /* After this many consecutive failed calls the store counts as
+     * unreachable. */
     FAILURES_MAX = 2,
     PROBE_INTERVAL_MS = 600,
     PROBE_TIMEOUT_MS = 500,
@@ -82,7 +83,6 @@
     return NULL;
 }
 
-/* The VM that was chosen last, or the next one that is not avoided. */
 struct peer *
 relay_choose_peer(struct cw_relay *relay, struct timespec now)
 {
@@ -151,7 +151,7 @@
     struct timespec now = relay_now(relay);
     GPtrArray *peers;
 
-    relay->members_in_flight = false;
+    relay->members_request_in_flight = false;
     relay_record_direct_status(relay, result->status);
     relay->members_due = cw_time_add_ms(
         now, relay->store_reachable ? MEMBERS_INTERVAL_MS : PROBE_INTERVAL_MS);
@@ -181,7 +181,7 @@
         .context = relay,
     };
 
-    relay->members_in_flight = true;
+    relay->members_request_in_flight = true;
     relay->options.direct->ops->members(relay->options.direct, &list);
 }
 
@@ -282,10 +282,10 @@
 {
     struct cw_relay *relay = context;
 
-    /* Stored by this VM or by another one: the next read finds a key. */
+    /* This VM or another one has stored a key: the next read returns it. */
     cw_log_info("relay_key_append", "append=%s",
                 cw_store_status_name(result->status));
-    relay->key_in_flight = false;
+    relay->key_request_in_flight = false;
     relay->key_due = relay_now(relay);
 }
 
@@ -319,7 +319,7 @@
             page->records[i].length == CW_MAC_BYTES)
         {
             relay_rpc_set_key(relay->rpc, page->records[i].value);
-            relay->key_in_flight = false;
+            relay->key_request_in_flight = false;
             return;
         }
     }
@@ -327,7 +327,7 @@
         store_new_key(relay);
         return;
     }
-    relay->key_in_flight = false;
+    relay->key_request_in_flight = false;
     relay->key_due = cw_time_add_ms(relay_now(relay), KEY_RETRY_MS);
 }
 
@@ -341,6 +341,6 @@
         .context = relay,
     };
 
-    relay->key_in_flight = true;
+    relay->key_request_in_flight = true;
     relay->options.direct->ops->newest(relay->options.direct, &newest);
 }
--- a/src/relay/relay_rpc.c
+++ b/src/relay/relay_rpc.c
@@ -200,17 +200,18 @@
 }
 
 void
-relay_rpc_answer(struct relay_rpc *rpc, const struct relay_caller *caller,
+relay_rpc_answer(struct relay_rpc *rpc,
+                 const struct relay_requester *requester,
                  const struct cw_relay_answer *answer)
 {
     struct rpc_msg message = {0};
 
-    message.rm_xid = caller->xid;
+    message.rm_xid = requester->xid;
     message.rm_direction = REPLY;
     message.rm_reply.rp_stat = MSG_ACCEPTED;
     message.acpted_rply.ar_verf = _null_auth;
     message.acpted_rply.ar_stat = SUCCESS;
-    if (!send_message(rpc, &caller->address, &message,
+    if (!send_message(rpc, &requester->address, &message,
                       (xdrproc_t)xdr_cw_relay_answer, answer))
     {
         cw_log_warning("relay_answer_failed", "outcome=not_sent records=%u",
@@ -224,7 +225,8 @@
 handle_call(struct relay_rpc *rpc, XDR *stream, const struct rpc_msg *message,
             const struct sockaddr_in *from)
 {
-    struct relay_caller caller = {.address = *from, .xid = message->rm_xid};
+    struct relay_requester requester = {.address = *from,
+                                        .xid = message->rm_xid};
     struct cw_relay_sealed sealed = {0};
     struct cw_relay_request request = {0};
 
@@ -235,11 +237,11 @@
         xdr_free((xdrproc_t)xdr_cw_relay_sealed, (char *)&sealed);
         return;
     }
-    if (mac_is_valid(rpc, caller.xid, CALL, &sealed) &&
+    if (mac_is_valid(rpc, requester.xid, CALL, &sealed) &&
         cw_xdr_decode((xdrproc_t)xdr_cw_relay_request, &request,
                       sealed.body.body_val, sealed.body.body_len))
     {
-        rpc->options.request(rpc->options.context, &caller, &request);
+        rpc->options.request(rpc->options.context, &requester, &request);
         xdr_free((xdrproc_t)xdr_cw_relay_request, (char *)&request);
     }
     xdr_free((xdrproc_t)xdr_cw_relay_sealed, (char *)&sealed);
--- a/src/relay/relay_serve.c
+++ b/src/relay/relay_serve.c
@@ -6,10 +6,11 @@
 #include "curlewcart/cw_store.h"
 
 enum {
-    /* Meant to end before the requesting VM's timeout, so that this VM's
-     * answer is in time; PEER_TIMEOUT_MS in relay.c is shorter, however. */
+    /* Meant to be shorter than the requesting VM's timeout, so that this VM's
+     * answer is in time.  PEER_TIMEOUT_MS in relay.c is shorter, however: the
+     * requesting VM ignores an answer that arrives later. */
     SERVE_TIMEOUT_MS = 600,
-    /* Leaves space for an answer's other fields in a datagram. */
+    /* Leaves space in a datagram for the other fields of an answer. */
     ANSWER_RECORDS_BYTES_MAX = CW_RELAY_BYTES_MAX - 1024,
     RECORD_OVERHEAD_BYTES = 24
 };
@@ -17,17 +18,17 @@
 /* A request of another VM that waits for the store's answer. */
 struct peer_request {
     struct relay_server *server;
-    struct relay_caller caller;
+    struct relay_requester requester;
 };
 
 static struct peer_request *
 peer_request_new(struct relay_server *server,
-                 const struct relay_caller *caller)
+                 const struct relay_requester *requester)
 {
     struct peer_request *peer_request = g_new0(struct peer_request, 1);
 
     peer_request->server = server;
-    peer_request->caller = *caller;
+    peer_request->requester = *requester;
     return peer_request;
 }
 
@@ -35,7 +36,8 @@
 send_answer(struct peer_request *peer_request,
             const struct cw_relay_answer *answer)
 {
-    relay_rpc_answer(peer_request->server->rpc, &peer_request->caller, answer);
+    relay_rpc_answer(peer_request->server->rpc, &peer_request->requester,
+                     answer);
     g_free(peer_request);
 }
 
@@ -52,8 +54,8 @@
     send_answer(context, &answer);
 }
 
-/* Answers with as many records as fit into a datagram; the requesting VM reads
- * on from there. */
+/* Answers with as many records as fit into a datagram; the requesting VM then
+ * requests the rest. */
 static void
 on_page(void *context, const struct cw_store_page *page)
 {
@@ -102,34 +104,36 @@
 }
 
 static void
-serve_ping(struct relay_server *server, const struct relay_caller *caller)
+serve_ping(struct relay_server *server,
+           const struct relay_requester *requester)
 {
     struct cw_relay_answer answer = {.status = CW_STORE_OK};
 
-    relay_rpc_answer(server->rpc, caller, &answer);
+    relay_rpc_answer(server->rpc, requester, &answer);
 }
 
 void
 relay_serve_refuse(struct relay_server *server,
-                   const struct relay_caller *caller)
+                   const struct relay_requester *requester)
 {
     struct cw_relay_answer answer = {.status = CW_STORE_REFUSED};
 
-    relay_rpc_answer(server->rpc, caller, &answer);
+    relay_rpc_answer(server->rpc, requester, &answer);
 }
 
 void
-relay_serve(struct relay_server *server, const struct relay_caller *caller,
+relay_serve(struct relay_server *server,
+            const struct relay_requester *requester,
             const struct cw_relay_request *request)
 {
     struct relay_handlers handlers = {
         .appended = on_appended, .page = on_page, .joined = on_joined};
 
     if (request->kind == CW_RELAY_PING) {
-        serve_ping(server, caller);
+        serve_ping(server, requester);
         return;
     }
-    handlers.context = peer_request_new(server, caller);
+    handlers.context = peer_request_new(server, requester);
     relay_issue(server->direct, request, SERVE_TIMEOUT_MS + request->wait_ms,
                 &handlers);
 }
--- a/src/replica/follower.c
+++ b/src/replica/follower.c
@@ -1,5 +1,5 @@
-/* Follows a keyed partition: loads it, reads on, and loads again when needed.
- */
+/* Follows a keyed partition: loads it, reads new records, and loads again when
+ * needed. */
 #include "curlewcart/cw_follower.h"
 
 #include <inttypes.h>
@@ -13,12 +13,13 @@
     CALL_TIMEOUT_MS = 900,
     /* A page of newest records holds up to 1 MB, which takes 0.8 s on a
      * 10 Mbit/s link and 4 s on a 2 Mbit/s one.  The timeout doubles, up to
-     * the maximum, after each load without an answer.  With a fixed timeout
-     * of 0.9 s, VMs on slow links received no page for 5 to 8 s after a
-     * restart; a first timeout of 0.9 s was wasted on them. */
+     * the maximum, after each load without an answer.  A fixed timeout of
+     * 0.9 s leaves VMs on slow links without a page for 5 to 8 s after a
+     * restart; a first timeout of 0.9 s is too short for such links. */
     LOAD_TIMEOUT_FIRST_MS = 2000,
     LOAD_TIMEOUT_MAX_MS = 5000,
-    /* A 2 Mbit/s link transfers this well within CALL_TIMEOUT_MS. */
+    /* Limit of a read: a 2 Mbit/s link transfers 128 KB well within
+     * CALL_TIMEOUT_MS. */
     READ_MAX_KB = 128,
     RETRY_MIN_MS = 100,
     RETRY_MAX_MS = 800,
@@ -31,14 +32,14 @@
 
 struct cw_follower {
     struct cw_follower_options options;
-    bool loading; /* pages of newest records are being read */
+    bool loading; /* a load is in progress */
     bool loaded;
     bool in_flight;
     bool read_immediately;
     bool freed;
     bool failing; /* the last call failed, which was logged */
     bool at_end;
-    bool long_poll; /* the read in flight waits for a record */
+    bool long_poll; /* the last read sent waits at the store for a record */
     char *after;
     bool resume_offset_known;
     uint64_t resume_offset; /* end of the partition at the load's first page */
@@ -234,8 +235,8 @@
     if (page->count > 0) {
         follower->position = page->records[page->count - 1].offset + 1;
     }
-    /* The size of an answer is limited, most of all through another VM, so
-     * that more records may be left to read. */
+    /* The size of an answer is limited, most of all through another VM: more
+     * records may be left to read. */
     behind = page->count > 0 && follower->position < page->end;
     follower->at_end = !behind;
     if (!behind) {
@@ -270,7 +271,7 @@
 send_read(struct cw_follower *follower)
 {
     /* After a failure the end of the partition is not known: a read that
-     * waits for records would report it a second later. */
+     * waits for records would report the end a second later. */
     unsigned wait_ms = follower->at_end && !follower->read_immediately
                            ? follower->options.wait_ms
                            : 0;
--- a/src/replica/internal/replica_epochs.h
+++ b/src/replica/internal/replica_epochs.h
@@ -7,7 +7,7 @@
 /* Creates an empty table. */
 GHashTable *replica_epochs_new(void);
 
-/* Apply a record of an epoch's begin or end.  Return the entry that changed,
+/* Apply a record of an epoch's start or end.  Return the entry that changed,
  * or NULL if the record is not newer than the entry or cannot be decoded. */
 struct cw_replica_epoch *
 replica_epochs_apply_begin(GHashTable *epochs,
@@ -17,7 +17,7 @@
                          const struct cw_store_record *record,
                          struct timespec now);
 
-/* Applies a record that drops the key of a CW_WORK_KEY_EPOCH. */
+/* Applies a record that deletes a key of the kind CW_WORK_KEY_EPOCH. */
 void replica_epochs_apply_drop(GHashTable *epochs,
                                const struct cw_store_record *record);
 
--- a/src/replica/load_gate.c
+++ b/src/replica/load_gate.c
@@ -8,19 +8,21 @@
 enum {
     FULL_CORE_MILLI = 1000,
     PERCENT = 100,
-    WAIT_MAX_PERCENT = 200,
-    /* Longest delay while no configuration arrives. */
+    /* Longest delay of a VM that is not weak, in percent of the time that the
+     * configuration took. */
+    DELAY_MAX_PERCENT = 200,
+    /* Delay if no configuration arrives. */
     UNCONFIGURED_MAX_MS = 2000,
     /* Longest delay in any case, as callers query this VM about jobs. */
-    WAIT_MAX_MS = 4000,
+    DELAY_MAX_MS = 4000,
     /* A VM with less than this does not own the shard if others have more.
-     * If the configuration took MANY_VMS_CONFIG_MS or longer, many VMs are
+     * If the configuration took CONFIG_SLOW_MS or longer, many VMs are
      * starting.  The weak VM then sends no read for TAKEOVER_DELAY_MS, while
-     * another VM takes over.  Its reads are spread over SPREAD_FACTOR times
-     * the time that the configuration took, so that they do not delay those
-     * of the new owner. */
+     * another VM takes over, and adds SPREAD_FACTOR times the time that the
+     * configuration took: this spreads the reads of weak VMs so that they do
+     * not delay the reads of the new owner. */
     WEAK_MILLI = 250,
-    MANY_VMS_CONFIG_MS = 50,
+    CONFIG_SLOW_MS = 50,
     TAKEOVER_DELAY_MS = 1200,
     SPREAD_FACTOR = 4
 };
@@ -38,18 +40,18 @@
     gate->due = cw_time_add_ms(now, gate->open ? 0 : UNCONFIGURED_MAX_MS);
 }
 
-/* Delay of the log's first read, counted from the configuration's arrival
- * `took_ms` after the start. */
+/* Returns the delay of the first read of the log, counted from the arrival of
+ * the configuration, which was `took_ms` after this VM started. */
 static int64_t
 wait_ms(const struct cw_load_gate *gate, int64_t took_ms)
 {
     unsigned percent = (FULL_CORE_MILLI - gate->capacity_milli) * PERCENT /
                        gate->capacity_milli;
 
-    if (gate->capacity_milli < WEAK_MILLI && took_ms >= MANY_VMS_CONFIG_MS) {
+    if (gate->capacity_milli < WEAK_MILLI && took_ms >= CONFIG_SLOW_MS) {
         return TAKEOVER_DELAY_MS + SPREAD_FACTOR * took_ms;
     }
-    return took_ms * MIN(percent, WAIT_MAX_PERCENT) / PERCENT;
+    return took_ms * MIN(percent, DELAY_MAX_PERCENT) / PERCENT;
 }
 
 bool
@@ -62,7 +64,7 @@
         gate->config_arrived = true;
         gate->due = cw_time_add_ms(now, wait_ms(gate, took_ms));
         cw_time_earlier(&gate->due,
-                        cw_time_add_ms(gate->started_at, WAIT_MAX_MS));
+                        cw_time_add_ms(gate->started_at, DELAY_MAX_MS));
     }
     gate->open = gate->open || !cw_time_before(now, gate->due);
     return gate->open;
--- a/src/replica/replica.c
+++ b/src/replica/replica.c
@@ -100,8 +100,8 @@
     notify_job_changed(replica, job);
 }
 
-/* Each attempt to cancel has a key of its own, so that the newest records of
- * all keys include all attempts; the earliest one counts. */
+/* Each attempt to cancel has a key of its own, so that a load of the newest
+ * record of each key delivers all attempts; the earliest one counts. */
 static void
 apply_cancel(struct cw_replica *replica, const char *id,
              const struct cw_store_record *record)
@@ -213,7 +213,8 @@
     }
 }
 
-/* A note that is delivered again keeps the time at which it was read first. */
+/* A note that is delivered again is ignored, so that `read_at` stays the time
+ * of its first read. */
 static void
 apply_lease_note(struct cw_replica *replica,
                  const struct cw_store_record *record)
@@ -267,14 +268,16 @@
     }
 }
 
-/* Applies a record by the kind in its key; `id` is the job of a job's record.
- */
+/* Applies a record according to the kind in its key; if it is a job's record,
+ * `id` is the job's id. */
 static void
 dispatch_record(struct cw_replica *replica, const char *id,
                 const struct cw_store_record *record)
 {
     if (record->value == NULL || record->length == 0) {
-        /* The owner drops a job's keys together, the state's key last. */
+        /* A record without a value deletes its key.  The owner deletes all
+         * keys of a job in one batch, its CW_WORK_KEY_RECORD last: only then
+         * is the job removed. */
         if (record->key[0] == CW_WORK_KEY_RECORD) {
             g_hash_table_remove(replica->jobs, id);
         }
--- a/src/routing/cordons.c
+++ b/src/routing/cordons.c
@@ -7,9 +7,9 @@
 #include "curlewcart/cw_log.h"
 
 struct cordon {
-    uint64_t offset; /* of the cordon's latest record */
-    struct timespec known_at;
-    bool seen_in_load; /* since the last reset */
+    uint64_t offset; /* of the newest record that set this cordon */
+    struct timespec first_read_at;
+    bool delivered_in_load; /* since the last reset */
 };
 
 struct cw_cordons {
@@ -64,7 +64,7 @@
     cw_log_info("dc_uncordoned",
                 "dc=%s reason=%s offset=%" PRIu64 " known_ms=%" PRId64, dc,
                 reason, cordon->offset,
-                cw_time_diff_ms(cordon->known_at, now));
+                cw_time_diff_ms(cordon->first_read_at, now));
 }
 
 static void
@@ -74,13 +74,13 @@
 
     if (cordon == NULL) {
         cordon = g_new0(struct cordon, 1);
-        cordon->known_at = cw_clock_now(cordons->options.clock);
+        cordon->first_read_at = cw_clock_now(cordons->options.clock);
         g_hash_table_insert(cordons->by_dc, g_strdup(dc), cordon);
         cw_log_info("dc_cordoned", "dc=%s offset=%" PRIu64, dc, offset);
         notify_changed(cordons);
     }
     cordon->offset = MAX(cordon->offset, offset);
-    cordon->seen_in_load = true;
+    cordon->delivered_in_load = true;
 }
 
 static void
@@ -121,7 +121,7 @@
 
     g_hash_table_iter_init(&iterator, cordons->by_dc);
     while (g_hash_table_iter_next(&iterator, NULL, &cordon)) {
-        ((struct cordon *)cordon)->seen_in_load = false;
+        ((struct cordon *)cordon)->delivered_in_load = false;
     }
 }
 
@@ -140,7 +140,7 @@
     while (g_hash_table_iter_next(&iterator, &dc, &value)) {
         const struct cordon *cordon = value;
 
-        if (!cordon->seen_in_load) {
+        if (!cordon->delivered_in_load) {
             log_uncordoned(cordons, dc, cordon, "not_listed");
             g_hash_table_iter_remove(&iterator);
             changed = true;
@@ -159,7 +159,7 @@
 {
     const struct cordon *cordon = g_hash_table_lookup(cordons->by_dc, dc);
 
-    return cordon != NULL ? cw_time_diff_ms(cordon->known_at, now) : -1;
+    return cordon != NULL ? cw_time_diff_ms(cordon->first_read_at, now) : -1;
 }
 
 bool
--- a/src/routing/routing.c
+++ b/src/routing/routing.c
@@ -115,7 +115,7 @@
     }
 }
 
-/* True if the Host header `given` is `host`, with or without a port; an empty
+/* True if the Host header `given`, without its port, is `host`; an empty
  * `host` matches any. */
 static bool
 host_matches(const char *host, const char *given)
--- a/tests/fake_store.h
+++ b/tests/fake_store.h
@@ -1,5 +1,5 @@
 /* A fake store for tests: answers calls at once from a store model, counts
- * them, and fails or withholds answers on request. */
+ * them, and on request fails calls or withholds answers. */
 #ifndef TEST_FAKE_STORE_H
 #define TEST_FAKE_STORE_H
 
@@ -103,7 +103,8 @@
     call->done(call->context, &result);
 }
 
-/* Ends the read and the join without an answer as timed out. */
+/* Ends the pending read and the pending join with CW_STORE_UNKNOWN, as after a
+ * timeout. */
 static inline void
 fake_store_time_out(struct fake_store *fake)
 {
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -248,8 +248,8 @@
     cw_entry_query_fresh(fixture->entry, &route, on_answer, fixture);
 }
 
-/* Guards against an outdated answer: between two reads of this VM another VM
- * may have stored a job, or recorded its end. */
+/* Guards against an outdated answer: between two reads by this VM another VM
+ * may have stored a job, or recorded the end of a job. */
 static void
 test_a_query_reads_the_store_first(void)
 {
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -1,5 +1,6 @@
-/* Tests of the follower of a partition: it loads, reads on, loads again if
- * history was dropped, and reads less often after refusals. */
+/* Tests of the follower of a partition: it loads, reads new records, loads
+ * again if the store has dropped records, and reads less often after refusals.
+ */
 #include "test_main.h"
 
 #include <string.h>
@@ -73,7 +74,7 @@
 }
 
 static void
-test_loads_and_reads_on(void)
+test_loads_and_then_reads(void)
 {
     struct fixture fixture;
 
@@ -148,10 +149,10 @@
     fixture_end(&fixture);
 }
 
-/* Guards against a VM that reports that a job does not exist while the record
- * of the job is among those that it has not read yet. */
+/* Guards against a VM that reports that a job does not exist because it has
+ * not read the record of the job yet. */
 static void
-test_a_truncated_read_is_not_fresh_and_reads_on(void)
+test_a_truncated_read_is_not_fresh_and_is_continued(void)
 {
     struct fixture fixture;
     struct timespec before;
@@ -257,9 +258,9 @@
 }
 
 static const struct test tests[] = {
-    {"truncated read", test_a_truncated_read_is_not_fresh_and_reads_on},
+    {"truncated read", test_a_truncated_read_is_not_fresh_and_is_continued},
     {"load", test_a_load_is_as_fresh_as_its_first_page},
-    {"load and read on", test_loads_and_reads_on},
+    {"load and read", test_loads_and_then_reads},
     {"dropped history", test_loads_again_if_history_was_dropped},
     {"refused", test_reads_less_often_after_refusals},
     {"slow link, load", test_load_timeout_grows_without_answers},
--- a/tests/test_load_gate.c
+++ b/tests/test_load_gate.c
@@ -20,7 +20,7 @@
     /* Pages of the workers' reports, which a new owner reads as well. */
     OWNER_PAGES = 12,
     OWNER_PAGE_KB = 190,
-    OWNER_READ_KB = 10, /* jobs that were submitted in the meantime */
+    OWNER_READ_KB = 10, /* jobs that were submitted since the last read */
     STORE_KB_PER_MS = 80,
     /* The group assigns the shard once the former members have expired. */
     ASSIGNED_MS = 860,
@@ -87,8 +87,8 @@
 struct owner {
     unsigned pages;
     int64_t page_at_ms;
-    int64_t begins_at_ms; /* when it is the owner; -1: not yet */
-    int64_t slowest_ms;   /* slowest read of jobs from then on */
+    int64_t took_over_at_ms; /* when the VM became the owner; -1: not yet */
+    int64_t slowest_ms; /* slowest read of jobs since the VM is the owner */
 };
 
 static void
@@ -99,8 +99,8 @@
     if (now_ms < ASSIGNED_MS || owner->page_at_ms > now_ms) {
         return;
     }
-    if (is_owner && owner->begins_at_ms < 0) {
-        owner->begins_at_ms = now_ms;
+    if (is_owner && owner->took_over_at_ms < 0) {
+        owner->took_over_at_ms = now_ms;
     }
     owner->page_at_ms =
         serve(busy_until_ms, now_ms, is_owner ? OWNER_READ_KB : OWNER_PAGE_KB);
@@ -123,12 +123,12 @@
     bool assigned = false;
     int64_t now_ms = 0;
 
-    *owner = (struct owner){.begins_at_ms = -1};
+    *owner = (struct owner){.took_over_at_ms = -1};
     for (unsigned i = 0; i < count; i++) {
         init_vm(&vms[i],
                 i % STRONG_VM_INTERVAL == 0 ? STRONG_MILLI : weak_milli);
     }
-    for (; done < count || owner->begins_at_ms < 0; now_ms += STEP_MS) {
+    for (; done < count || owner->took_over_at_ms < 0; now_ms += STEP_MS) {
         done = 0;
         for (unsigned i = 0; i < count; i++) {
             tick_vm(&vms[i], &busy_until_ms, now_ms);
@@ -145,20 +145,20 @@
 }
 
 /* Guards against VMs that are too weak to own the shard and whose reads delay
- * those of the strong ones: with 586 VMs it took 3.6 s until one was the
- * owner. */
+ * those of the strong ones: with 586 VMs it then takes 3.6 s until
+ * one is the owner. */
 static void
 test_strong_vms_read_first(void)
 {
     struct owner owner;
     int64_t all_ms = simulate_restart(VMS, WEAK_MILLI, &owner);
 
-    CU_ASSERT_TRUE(owner.begins_at_ms <= OWNER_WITHIN_MS);
+    CU_ASSERT_TRUE(owner.took_over_at_ms <= OWNER_WITHIN_MS);
     CU_ASSERT_TRUE(all_ms <= ALL_READ_WITHIN_MS);
 }
 
 /* Guards against an owner that reads no new job for seconds because all other
- * VMs read the log at that time. */
+ * VMs read the log at the same time. */
 static void
 test_the_owner_is_not_delayed_while_others_load(void)
 {
@@ -193,10 +193,10 @@
     CU_ASSERT_TRUE(cw_time_diff_ms(now, cw_load_gate_due(&gate)) <= 2000);
 }
 
-/* Guards against a gate that closes again, and against one that stays closed
- * for longer than callers may go without an answer. */
+/* Guards against a VM that is allowed to read the log and later is not, and
+ * against a delay that is longer than callers may wait for an answer. */
 static void
-test_the_gate_opens_once_and_in_time(void)
+test_reading_is_allowed_in_time_and_stays_allowed(void)
 {
     struct timespec now = cw_time_from_ms(START_MS);
     struct timespec late = cw_time_add_ms(now, 1900);
@@ -216,7 +216,7 @@
     {"owner not delayed", test_the_owner_is_not_delayed_while_others_load},
     {"few VMs", test_few_vms_hardly_wait_for_each_other},
     {"no configuration", test_a_vm_without_configuration_reads_after_a_delay},
-    {"opens once", test_the_gate_opens_once_and_in_time},
+    {"stays allowed", test_reading_is_allowed_in_time_and_stays_allowed},
 };
 
 TEST_MAIN("load gate", tests)
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -134,7 +134,7 @@
 }
 
 static void
-test_an_outage_for_all_vms_is_reported_as_such(void)
+test_an_outage_for_all_vms_is_not_isolation(void)
 {
     struct pair pair;
 
@@ -158,7 +158,7 @@
 
     pair_init(&pair);
     pair.stores[0].answer_status = CW_STORE_UNKNOWN;
-    /* The other VM is gone: there is no answer from its port. */
+    /* The other VM has stopped: its port does not answer. */
     cw_relay_free(pair.relays[1]);
     pair.relays[1] = pair.relays[0];
     (void)append(&pair);
@@ -181,7 +181,7 @@
     *(int *)context = (int)page->status;
 }
 
-/* Reads at VM 0 and waits for what becomes of it. */
+/* Sends a read at VM 0; returns the status of the answer. */
 static int
 read_some(struct pair *pair, unsigned most_kb)
 {
@@ -201,7 +201,7 @@
 }
 
 /* Guards against an answer that is larger than a slow link can transfer in
- * time: the limit of the caller is passed on, or lowered for a datagram. */
+ * time: the caller's limit is passed on, or lowered to fit a datagram. */
 static void
 test_a_relayed_read_is_limited_in_size(void)
 {
@@ -269,10 +269,10 @@
     store->ops->join(store, &join);
 }
 
-/* Guards against an owner that receives no job for two seconds.  The store
- * stopped answering this VM only; its other calls went through another VM
- * after 0.9 s, but the read of jobs, which waits for records, was in flight
- * until its own timeout. */
+/* Guards against an owner that receives no job for two seconds if the store
+ * stops answering its VM only: other calls go through another VM after 0.9 s,
+ * but a read of jobs that waits for records would stay in flight until its own
+ * timeout. */
 static void
 test_a_waiting_read_is_diverted_in_time(void)
 {
@@ -288,13 +288,13 @@
     }
     CU_ASSERT_EQUAL(page_result.times, 1);
     CU_ASSERT_EQUAL(page_result.status, CW_STORE_OK);
-    fake_store_time_out(&pair.stores[0]); /* no caller is left to answer */
+    fake_store_time_out(&pair.stores[0]); /* the caller was answered before */
     run_all_steps(&pair);
     CU_ASSERT_EQUAL(page_result.times, 1);
     pair_clear(&pair);
 }
 
-/* Guards against reads that go through other VMs, and are load for them, long
+/* Guards against reads that go through other VMs, and put load on them, long
  * after a single answer of the store was lost. */
 static void
 test_reads_are_direct_again_once_the_store_answers(void)
@@ -318,8 +318,8 @@
     pair_clear(&pair);
 }
 
-/* Guards against a read whose callback is called twice, or never, if the other
- * VM does not answer either. */
+/* Guards against a read whose callback is called twice, or never, if neither
+ * the store nor the other VM answers. */
 static void
 test_a_diverted_read_without_an_answer_ends_once(void)
 {
@@ -348,7 +348,7 @@
     {"diverted, no answer", test_a_diverted_read_without_an_answer_ends_once},
     {"limited reads", test_a_relayed_read_is_limited_in_size},
     {"store lost", test_a_vm_that_loses_the_store_uses_another_vm},
-    {"outage", test_an_outage_for_all_vms_is_reported_as_such},
+    {"outage", test_an_outage_for_all_vms_is_not_isolation},
     {"isolated", test_a_vm_that_gets_no_answer_is_isolated},
 };
 
