--- a/include/curlewcart/cw_count.h
+++ b/include/curlewcart/cw_count.h
@@ -1,6 +1,6 @@
-/* Counters: one for each result code, some named ones, and latencies.
+/* Counters: one for each result code, named ones, and latency histograms.
  *
- * Safe from any thread.  A counter only grows while its process lives.
+ * Safe from any thread.  A counter never decreases while its process runs.
  */
 #ifndef CURLEWCART_CW_COUNT_H
 #define CURLEWCART_CW_COUNT_H
@@ -59,14 +59,14 @@
     struct cw_histogram latency[CW_LATENCY_TOTAL];
 };
 
-/* Adds `n` to a named counter. */
+/* Adds `n` to the named counter `which`. */
 void
 cw_count_add(struct cw_counters *counters, enum cw_counter which, uint64_t n);
 
-/* Adds one to the counter of a result code. */
+/* Increments the counter of a result code. */
 void cw_count_code(struct cw_counters *counters, enum cw_result code);
 
-/* Adds a measured latency. */
+/* Adds a measured latency to the histogram `which`. */
 void cw_count_latency(struct cw_counters *counters, enum cw_latency which,
                       int64_t ms);
 
@@ -74,7 +74,7 @@
 uint64_t
 cw_count_get_code(const struct cw_counters *counters, enum cw_result code);
 
-/* Appends all counters to `out` in the text form that scrapers read. */
+/* Appends all counters to `out` in the text format that scrapers read. */
 void cw_count_print(const struct cw_counters *counters, GString *out);
 
 #endif
--- a/include/curlewcart/cw_log.h
+++ b/include/curlewcart/cw_log.h
@@ -1,4 +1,4 @@
-/* Logs: one line of key=value pairs for each event, through GLib. */
+/* Logging: one line of key=value pairs for each event, through GLib. */
 #ifndef CURLEWCART_CW_LOG_H
 #define CURLEWCART_CW_LOG_H
 
@@ -8,32 +8,34 @@
 
 #include "curlewcart/cw_time.h"
 
-/* Sets the least level ("error", "warning", "info", "debug") and the VM's
- * name that stands in each line.  Call once, before threads start. */
+/* Sets the minimum level ("error", "warning", "info", "debug") and the VM's
+ * name, which is part of each line.  Call before threads start. */
 void cw_log_setup(const char *level, const char *vm);
 
-/* Changes the least level; safe from any thread. */
+/* Changes the minimum level.  Safe from any thread. */
 void cw_log_set_level(const char *level);
 
-/* Clock of the lines' time; NULL: the system's.  For emulated runs. */
+/* Sets the clock for the timestamps of lines, for emulated runs; NULL: the
+ * system's clock. */
 void cw_log_set_clock(struct cw_clock *clock);
 
-/* Makes standard output never block: a reader that stops reading costs
- * lines, which are counted, and no time.  For daemons; the descriptor's mode
- * is shared with whoever else has it. */
+/* Makes standard output non-blocking: if its reader stops reading, lines are
+ * dropped and counted, and no thread waits.  For daemons only, because the
+ * mode applies to every process that shares the open file. */
 void cw_log_never_wait(void);
 
-/* Writes out what is held back, as far as it is taken. */
+/* Writes buffered lines as far as standard output accepts them. */
 void cw_log_flush(void);
 
-/* Bytes held back. */
+/* Number of bytes that are buffered and not written yet. */
 uint64_t cw_log_held_bytes(void);
 
-/* True if lines of `level` are written; spares the caller the work. */
+/* True if lines of `level` are written.  Lets callers skip the preparation of
+ * lines that are not. */
 bool cw_log_wants(GLogLevelFlags level);
 
-/* Writes an event: `event` is its name, `format` gives further key=value
- * pairs ("" for none).  Values with spaces must be quoted by the caller. */
+/* Logs an event: `event` is its name, `format` gives further key=value pairs
+ * ("" for none).  The caller must quote values that contain spaces. */
 void cw_log(GLogLevelFlags level, const char *event, const char *format, ...)
     G_GNUC_PRINTF(3, 4);
 
--- a/include/curlewcart/cw_result.h
+++ b/include/curlewcart/cw_result.h
@@ -4,11 +4,11 @@
  *   0        success
  *   1-99     errors of a call inside the program or of its settings
  *   100-199  refusals: the request did not run and will not run, or (see
- *            cw_refusal_is_final) this VM cannot take it now
+ *            cw_refusal_is_final) this VM cannot accept it now
  *   200-299  reasons for a retry inside the system
  *   300-399  input that was dropped and counted, without effect
- *   400-499  reasons within an outcome of a request that was accepted
- * docs/RESULT_CODES.md lists them for operators.
+ *   400-499  reasons for the outcome of a request that was accepted
+ * docs/RESULT_CODES.md lists the codes for operators.
  */
 #ifndef CURLEWCART_CW_RESULT_H
 #define CURLEWCART_CW_RESULT_H
@@ -84,7 +84,7 @@
 #undef CW_RESULT_SYMBOL
 };
 
-/* One row of the table, by position. */
+/* A row of the table. */
 struct cw_result_info {
     enum cw_result code;
     const char *name;
@@ -97,18 +97,19 @@
 /* Row at `index`, 0 <= index < cw_result_count().  Borrowed, static. */
 const struct cw_result_info *cw_result_at(size_t index);
 
-/* Position of `code` in the table, or -1 if there is no such code. */
+/* Index of `code` in the table, or -1 if there is no such code. */
 int cw_result_index(unsigned code);
 
 /* Short name of `code`; "unknown" if there is none.  Borrowed, static. */
 const char *cw_result_name(unsigned code);
 
-/* True if a refusal with this code says that the request did not run.  The
- * others say only that this VM did not take it now: a copy of the request
- * may be known elsewhere. */
+/* True if a refusal with this code means that the request did not run and will
+ * not run.  Other refusals mean only that this VM did not accept the request
+ * now: another VM may have a copy of it. */
 bool cw_refusal_is_final(unsigned code);
 
-/* Text of `code` for people.  Borrowed, static. */
+/* Text of `code` for people; "unknown code" if there is none.  Borrowed,
+ * static. */
 const char *cw_result_text(unsigned code);
 
 #endif
--- a/include/curlewcart/cw_sanitize.h
+++ b/include/curlewcart/cw_sanitize.h
@@ -1,7 +1,7 @@
-/* Tells ThreadSanitizer of orders that it cannot see.
+/* Annotations that tell ThreadSanitizer about memory ordering.
  *
- * Concurrency Kit's operations are inline assembly; the sanitizer does not
- * know that what was written before a push is read after the pop. */
+ * Concurrency Kit's operations are inline assembly, so the sanitizer does not
+ * see that data written before a push happens before its use after the pop. */
 #ifndef CURLEWCART_CW_SANITIZE_H
 #define CURLEWCART_CW_SANITIZE_H
 
--- a/include/curlewcart/cw_settings.h
+++ b/include/curlewcart/cw_settings.h
@@ -1,4 +1,4 @@
-/* Settings of a VM, from a YAML file (see cw_vm.h). */
+/* Settings of a VM, loaded from a YAML file (see cw_vm.h). */
 #ifndef CURLEWCART_CW_SETTINGS_H
 #define CURLEWCART_CW_SETTINGS_H
 
@@ -6,17 +6,18 @@
 
 #include "curlewcart/cw_chain.h"
 
+/* Addresses to listen on.  Exactly one of `callers` and `api` is set. */
 struct cw_settings_listen {
     char *callers; /* HOST:PORT for the platform's callers, or NULL */
-    char *api;     /* HOST:PORT for our own interface, or NULL; one of both */
-    char *ready;   /* HOST:PORT; answers whether callers are wanted; or NULL */
-    char *inner;   /* HOST:PORT, UDP; for the other VMs */
+    char *api;     /* HOST:PORT for the project's own interface, or NULL */
+    char *ready;   /* HOST:PORT for readiness checks, or NULL */
+    char *inner;   /* HOST:PORT, UDP, for the other VMs */
     char *metrics; /* HOST:PORT, or NULL */
 };
 
-/* Our own interface; only with listen.api. */
+/* The project's own interface; only with listen.api. */
 struct cw_settings_api {
-    char *service;             /* pool of workers that runs its jobs */
+    char *service;             /* pool of workers that runs the jobs */
     char *operator_token_hash; /* hex BLAKE2b-256 */
     char *seal_key_file;       /* 64 hex digits, mode 0600 */
     struct cw_trusted_key *trusted_operators;
@@ -27,23 +28,24 @@
     unsigned connections;   /* 0: the default */
 };
 
-/* Bounds that the platform states; all in the unit of their name. */
+/* Times that the platform prescribes. */
 struct cw_settings_bounds {
     unsigned lease_ms;      /* longest lease that workers grant */
     unsigned grace_s;       /* from SIGTERM to SIGKILL */
-    unsigned retain_s;      /* ended jobs can be asked for so long */
-    unsigned member_ttl_ms; /* least time to live of a group's member */
-    unsigned report_ms;     /* workers report so often; 0: the default */
-    unsigned cordon_ms;     /* nothing is started in a data centre later than
-                               so long after its cordon; 0: no bound */
+    unsigned retain_s;      /* ended jobs can be queried for this long */
+    unsigned member_ttl_ms; /* shortest time to live of a group member */
+    unsigned report_ms;     /* interval of workers' reports; 0: the default */
+    unsigned cordon_ms;     /* longest time from a data centre's cordon to a
+                               start there; 0: no limit */
 };
 
-/* How much of a processor the VM has. */
+/* The processor capacity of the VM: the product of both. */
 struct cw_settings_processor {
-    double share; /* of a core; 0 unknown */
-    double cores; /* speed of one, against the usual; 0 as the usual */
+    double share; /* of one core; 0: unknown */
+    double cores; /* speed of that core, in usual cores; 0: one */
 };
 
+/* All settings.  Members have the names of the file's keys. */
 struct cw_settings {
     char *vm;
     char *dc;
@@ -51,15 +53,16 @@
     char *store; /* HOST:PORT */
     struct cw_settings_bounds bounds;
     struct cw_settings_processor processor;
-    unsigned descriptors;        /* that the VM may open; 0 unknown */
+    unsigned descriptors;        /* limit on open descriptors; 0: unknown */
     struct cw_settings_api *api; /* or NULL */
-    char **contracts;            /* of the platform, in force; or NULL */
+    char **contracts;            /* in force at the platform; or NULL */
     unsigned contracts_count;
     char *log_level;  /* error, warning, info or debug */
-    char *ports_file; /* where to write the ports listened on */
+    char *ports_file; /* file to write the listeners' ports to, or NULL */
 };
 
-/* What the files named in the settings hold. */
+/* Contents of the files that the `api` section names, and its token hash as
+ * bytes. */
 struct cw_settings_secrets {
     unsigned char seal_key[CW_MAC_BYTES];
     unsigned char operator_token_hash[CW_HASH_BYTES];
@@ -67,15 +70,17 @@
     char *private_key;
 };
 
-/* Loads and checks a file.  Every problem found becomes a line of
- * `problems`; NULL if there is any. */
+/* Loads and checks a settings file.  Each problem is appended to `problems` as
+ * a line; returns NULL if there is any.  Release with cw_settings_free. */
 struct cw_settings *cw_settings_load(const char *path, GString *problems);
 
-/* Reads the files of the `api` section; problems as above.  NULL if there is
- * any, or no such section.  Lives as long as the process. */
+/* Reads the files that the `api` section names; problems as above.  Returns
+ * NULL if there is any, or if there is no such section.  The result is never
+ * freed. */
 struct cw_settings_secrets *
 cw_settings_secrets(const struct cw_settings *settings, GString *problems);
 
+/* Frees settings; NULL is allowed. */
 void cw_settings_free(struct cw_settings *settings);
 
 #endif
--- a/include/curlewcart/cw_story.h
+++ b/include/curlewcart/cw_story.h
@@ -1,4 +1,5 @@
-/* A request's story, and a system's, from the daemons' log lines alone. */
+/* Analysis of the daemons' log lines: explains a request's outcome, and lists
+ * the changes of the whole system. */
 #ifndef CURLEWCART_CW_STORY_H
 #define CURLEWCART_CW_STORY_H
 
@@ -8,24 +9,30 @@
 
 struct cw_story;
 
+/* Creates an analysis without lines.  Release with cw_story_free. */
 struct cw_story *cw_story_create(void);
-void cw_story_free(struct cw_story *story);
 
-/* Adds a line; text before its "ts=" is ignored, and so are lines without
- * one.  The lines may come in any order, of any number of daemons. */
-void cw_story_add(struct cw_story *story, const char *line);
+/* Frees an analysis and its lines. */
+void cw_story_free(struct cw_story *analysis);
 
-/* Number of lines taken. */
-size_t cw_story_lines(const struct cw_story *story);
+/* Adds a line.  Text before its "ts=" is ignored, and so are lines without
+ * "ts=" or an event.  Lines may be added in any order and may come from any
+ * number of daemons. */
+void cw_story_add(struct cw_story *analysis, const char *line);
 
-/* Appends the lines that concern the request `id` in the order of time, with
- * the changes of owner and of dependencies meanwhile, and last a line
- * "cause: ..." that names what decided its fate.  Returns how many lines
- * named the request; 0: it is not in these logs. */
-size_t cw_story_explain(struct cw_story *story, const char *id, GString *out);
+/* Number of lines that were added and not ignored. */
+size_t cw_story_lines(const struct cw_story *analysis);
 
-/* Appends changes of owner, dependencies, workers and configuration of the
- * whole system, one line each, with counts of what was refused between. */
-void cw_story_timeline(struct cw_story *story, GString *out);
+/* Appends to `out` the lines of the request `id` in order of time, with events
+ * of the whole system that happened meanwhile, and at the end a line
+ * "cause: ..." or "still open: ..." that explains its outcome or delay.
+ * Returns the number of lines of the request; 0 if it is not in these logs. */
+size_t
+cw_story_explain(struct cw_story *analysis, const char *id, GString *out);
+
+/* Appends to `out` the changes of owners, dependencies, workers and the
+ * configuration of the whole system, one line each, and between them the
+ * number of jobs refused. */
+void cw_story_timeline(struct cw_story *analysis, GString *out);
 
 #endif
--- a/include/curlewcart/cw_time.h
+++ b/include/curlewcart/cw_time.h
@@ -1,8 +1,9 @@
-/* Instants and the clock interface.
+/* Points in time and the clock interface.
  *
- * The decision code never reads a clock of its own: the instant comes with
- * each event, or from a struct cw_clock that the program passed in.  Leases
- * and timeouts use the monotonic clock; wall time is only written down.
+ * Decision code never reads the system's clock directly: it gets the current
+ * time with each event, or from a struct cw_clock that the program passed in.
+ * Leases and timeouts use the monotonic clock; wall-clock time is only
+ * recorded.
  */
 #ifndef CURLEWCART_CW_TIME_H
 #define CURLEWCART_CW_TIME_H
@@ -17,11 +18,11 @@
 
 struct cw_clock;
 
-/* Behaviour of a clock. */
+/* Operations of a clock. */
 struct cw_clock_ops {
-    /* Monotonic instant; counts time that the machine is suspended. */
+    /* Monotonic time, including time for which the machine was suspended. */
     struct timespec (*monotonic)(struct cw_clock *clock);
-    /* Wall time, milliseconds since 1970; may jump. */
+    /* Wall-clock time in milliseconds since 1970; may jump. */
     int64_t (*wall_ms)(struct cw_clock *clock);
 };
 
@@ -33,22 +34,24 @@
 /* The system's clock.  Borrowed, static, thread-safe. */
 struct cw_clock *cw_clock_system(void);
 
-/* A clock moved by hand, for tests, fuzzers and the bench. */
+/* A clock that its user sets, for tests, fuzzers and the benchmark. */
 struct cw_clock_manual {
     struct cw_clock base;
     struct timespec now;
     int64_t wall_offset_ms;
 };
 
-/* Sets up `clock` at instant zero. */
+/* Initialises `clock` at time zero. */
 void cw_clock_manual_init(struct cw_clock_manual *clock);
 
+/* The clock's monotonic time. */
 static inline struct timespec
 cw_clock_now(struct cw_clock *clock)
 {
     return clock->ops->monotonic(clock);
 }
 
+/* The clock's wall-clock time in milliseconds since 1970. */
 static inline int64_t
 cw_clock_wall_ms(struct cw_clock *clock)
 {
@@ -100,7 +103,7 @@
            (a.tv_sec == b.tv_sec && a.tv_nsec < b.tv_nsec);
 }
 
-/* Brings `due` forward to `other` if that is before it. */
+/* Sets `due` to `other` if `other` is earlier. */
 static inline void
 cw_time_earlier(struct timespec *due, struct timespec other)
 {
--- a/include/curlewcart/cw_xdr.h
+++ b/include/curlewcart/cw_xdr.h
@@ -1,4 +1,4 @@
-/* Bytes from and to the types of cw_proto.x. */
+/* Encoding and decoding of the types of cw_proto.x. */
 #ifndef CURLEWCART_CW_XDR_H
 #define CURLEWCART_CW_XDR_H
 
@@ -12,9 +12,10 @@
  * array owned by the caller, or NULL if the value exceeds a bound. */
 GByteArray *cw_xdr_encode(xdrproc_t codec, const void *value);
 
-/* Decodes `length` bytes into `value`, which must be zeroed.  The whole
- * input has to be used.  On failure `value` is released and zeroed is
- * undefined; on success free it with xdr_free(codec, value). */
+/* Decodes `length` bytes into `value`, which must be zeroed.  False if the
+ * bytes are not exactly one value.  On failure `value` is released and its
+ * contents are undefined; on success release it with xdr_free(codec, value).
+ */
 bool
 cw_xdr_decode(xdrproc_t codec, void *value, const void *bytes, size_t length);
 
--- a/src/base/cw_address.c
+++ b/src/base/cw_address.c
@@ -1,4 +1,4 @@
-/* Reading addresses. */
+/* Parsing of addresses. */
 #include "curlewcart/cw_address.h"
 
 #include <arpa/inet.h>
--- a/src/base/cw_log.c
+++ b/src/base/cw_log.c
@@ -1,8 +1,8 @@
-/* Structured lines on standard output, through GLib's writer.
+/* Structured log lines on standard output, through GLib's writer.
  *
- * Lines go through a ring in memory.  What the reader of standard output does
- * not take at once stays there; when the ring is full, or one kind of event
- * comes too often, lines are dropped and counted, and the log says so. */
+ * Lines are buffered in a ring in memory until standard output accepts them.
+ * If the ring is full, or if the rate of an event exceeds its limit, lines are
+ * dropped and counted, and the event log_dropped reports how many. */
 #include "curlewcart/cw_log.h"
 
 #include <errno.h>
@@ -15,33 +15,33 @@
 
 enum {
     LINE_BYTES_MAX = 2048,
-    /* A few thousand lines: some seconds of a busy VM. */
+    /* A few thousand lines: several seconds of output of a busy VM. */
     RING_BYTES = 512 * 1024,
-    /* Lines of one kind a second, and in a burst; the busiest kind of a busy
-     * day comes about fifty times a second. */
-    KIND_RATE_PER_S = 400,
-    KIND_BURST = 2000,
-    KINDS = 64
+    /* Limits on the lines of one event, per second and in a burst.  The most
+     * frequent event of a busy day occurs about fifty times a second. */
+    EVENT_RATE_PER_S = 400,
+    EVENT_BURST = 2000,
+    EVENT_BUDGETS = 64
 };
 
-/* What is left of a kind's budget. */
-struct kind_budget {
+/* Token bucket that limits the rate of an event. */
+struct event_budget {
     double tokens;
-    struct timespec at;
+    struct timespec updated_at;
     bool used;
 };
 
-static GLogLevelFlags least_level = G_LOG_LEVEL_INFO;
+static GLogLevelFlags min_level = G_LOG_LEVEL_INFO;
 static char vm_name[80];
 static bool is_set_up;
-static struct cw_clock *log_clock; /* NULL: the system's */
+static struct cw_clock *log_clock; /* NULL: the system's clock */
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 static char ring[RING_BYTES];
 static size_t ring_start;
 static size_t ring_used;
-static uint64_t dropped; /* since the last line that says so */
-static struct kind_budget budgets[KINDS];
+static uint64_t dropped_lines; /* since the last log_dropped line */
+static struct event_budget budgets[EVENT_BUDGETS];
 
 static const char *
 level_name(GLogLevelFlags level)
@@ -59,10 +59,10 @@
     }
 }
 
-/* ---- the ring; all under the lock ---- */
+/* ---- the ring; called with the lock held ---- */
 
 static bool
-ring_put(const char *text, size_t length)
+ring_append(const char *text, size_t length)
 {
     size_t end = (ring_start + ring_used) % RING_BYTES;
     size_t first = MIN(length, RING_BYTES - end);
@@ -76,9 +76,9 @@
     return true;
 }
 
-/* Writes what standard output takes now. */
+/* Writes as much of the ring as standard output accepts now. */
 static void
-ring_write(void)
+ring_flush(void)
 {
     while (ring_used > 0) {
         size_t part = MIN(ring_used, RING_BYTES - ring_start);
@@ -88,29 +88,30 @@
             continue;
         }
         if (written <= 0) {
-            return; /* tried again with the next line */
+            return; /* retried with the next line */
         }
         ring_start = (ring_start + (size_t)written) % RING_BYTES;
         ring_used -= (size_t)written;
     }
 }
 
-/* Takes one line of the kind's budget; false if there is none. */
+/* Takes a token of the event's budget; false if there is none.  Events whose
+ * names have the same hash share a budget. */
 static bool
-take_budget(const char *event, struct timespec now)
+take_token(const char *event, struct timespec now)
 {
-    struct kind_budget *budget = &budgets[g_str_hash(event) % KINDS];
-    int64_t passed_ms = cw_time_diff_ms(budget->at, now);
+    struct event_budget *budget = &budgets[g_str_hash(event) % EVENT_BUDGETS];
+    int64_t elapsed_ms = cw_time_diff_ms(budget->updated_at, now);
 
     if (!budget->used) {
         budget->used = true;
-        budget->tokens = KIND_BURST;
+        budget->tokens = EVENT_BURST;
     }
-    else if (passed_ms > 0) {
-        budget->tokens += (double)passed_ms * KIND_RATE_PER_S / CW_MS_PER_S;
-        budget->tokens = MIN(budget->tokens, KIND_BURST);
+    else if (elapsed_ms > 0) {
+        budget->tokens += (double)elapsed_ms * EVENT_RATE_PER_S / CW_MS_PER_S;
+        budget->tokens = MIN(budget->tokens, EVENT_BURST);
     }
-    budget->at = now;
+    budget->updated_at = now;
     if (budget->tokens < 1) {
         return false;
     }
@@ -123,16 +124,16 @@
             const char *message)
 {
     struct tm utc;
-    char stamp[32];
+    char timestamp[32];
     int length;
 
     gmtime_r(&now.tv_sec, &utc);
-    strftime(stamp, sizeof(stamp), "%Y-%m-%dT%H:%M:%S", &utc);
+    strftime(timestamp, sizeof(timestamp), "%Y-%m-%dT%H:%M:%S", &utc);
     length = snprintf(
-        line, LINE_BYTES_MAX + 1, "ts=%s.%03ldZ level=%s vm=%s %s", stamp,
+        line, LINE_BYTES_MAX + 1, "ts=%s.%03ldZ level=%s vm=%s %s", timestamp,
         now.tv_nsec / CW_NS_PER_MS, level_name(level), vm_name, message);
     length = MIN(length, LINE_BYTES_MAX);
-    /* Text from outside must not make a line of its own. */
+    /* Text from outside must not be able to start a line. */
     for (int i = 0; i < length; i++) {
         if ((unsigned char)line[i] < ' ' || line[i] == 0x7f) {
             line[i] = '?';
@@ -143,24 +144,24 @@
 }
 
 static void
-put_line(GLogLevelFlags level, struct timespec now, const char *message)
+append_line(GLogLevelFlags level, struct timespec now, const char *message)
 {
     char line[LINE_BYTES_MAX + 2];
     size_t length;
 
-    if (dropped > 0) {
-        char note[64];
+    if (dropped_lines > 0) {
+        char summary[64];
 
-        snprintf(note, sizeof(note),
-                 "event=log_dropped lines=%" G_GUINT64_FORMAT, dropped);
-        length = format_line(line, G_LOG_LEVEL_WARNING, now, note);
-        if (ring_put(line, length)) {
-            dropped = 0;
+        snprintf(summary, sizeof(summary),
+                 "event=log_dropped lines=%" G_GUINT64_FORMAT, dropped_lines);
+        length = format_line(line, G_LOG_LEVEL_WARNING, now, summary);
+        if (ring_append(line, length)) {
+            dropped_lines = 0;
         }
     }
     length = format_line(line, level, now, message);
-    if (!ring_put(line, length)) {
-        dropped++;
+    if (!ring_append(line, length)) {
+        dropped_lines++;
     }
 }
 
@@ -192,13 +193,13 @@
     }
     (void)sscanf(message, "event=%47[a-z_]", event);
     pthread_mutex_lock(&lock);
-    if (take_budget(event, now)) {
-        put_line(level, now, message);
+    if (take_token(event, now)) {
+        append_line(level, now, message);
     }
     else {
-        dropped++;
+        dropped_lines++;
     }
-    ring_write();
+    ring_flush();
     pthread_mutex_unlock(&lock);
     return G_LOG_WRITER_HANDLED;
 }
@@ -209,16 +210,16 @@
 cw_log_set_level(const char *level)
 {
     if (strcmp(level, "error") == 0) {
-        least_level = G_LOG_LEVEL_CRITICAL;
+        min_level = G_LOG_LEVEL_CRITICAL;
     }
     else if (strcmp(level, "warning") == 0) {
-        least_level = G_LOG_LEVEL_WARNING;
+        min_level = G_LOG_LEVEL_WARNING;
     }
     else if (strcmp(level, "debug") == 0) {
-        least_level = G_LOG_LEVEL_DEBUG;
+        min_level = G_LOG_LEVEL_DEBUG;
     }
     else {
-        least_level = G_LOG_LEVEL_INFO;
+        min_level = G_LOG_LEVEL_INFO;
     }
 }
 
@@ -242,7 +243,7 @@
 cw_log_flush(void)
 {
     pthread_mutex_lock(&lock);
-    ring_write();
+    ring_flush();
     pthread_mutex_unlock(&lock);
 }
 
@@ -262,7 +263,7 @@
 {
     cw_log_set_level(level);
     g_strlcpy(vm_name, vm, sizeof(vm_name));
-    if (!is_set_up) { /* GLib takes it once only */
+    if (!is_set_up) { /* GLib allows the writer to be set only once */
         is_set_up = true;
         g_log_set_writer_func(write_line, NULL, NULL);
     }
@@ -271,7 +272,7 @@
 bool
 cw_log_wants(GLogLevelFlags level)
 {
-    return level <= least_level;
+    return level <= min_level;
 }
 
 void
--- a/src/base/cw_port_names.c
+++ b/src/base/cw_port_names.c
@@ -1,4 +1,5 @@
-/* Names of the ports' statuses, for logs. */
+/* Names of the statuses of the store and the workers, and of kinds of ends,
+ * for logs. */
 #include <glib.h>
 
 #include "curlewcart/cw_store.h"
--- a/src/base/cw_process.c
+++ b/src/base/cw_process.c
@@ -1,4 +1,4 @@
-/* What this process takes of the machine. */
+/* Resources that this process uses. */
 #include "curlewcart/cw_process.h"
 
 #include <stdio.h>
--- a/src/base/cw_time.c
+++ b/src/base/cw_time.c
@@ -1,4 +1,4 @@
-/* Clocks: the system's, and one moved by hand. */
+/* Clocks: the system's, and one that its user sets. */
 #include "curlewcart/cw_time.h"
 
 static struct timespec
@@ -7,8 +7,8 @@
     struct timespec now;
 
     (void)clock;
-    /* Counts the time that the machine is suspended; CLOCK_MONOTONIC does
-     * not, and a VM that wakes would take leases that are over for valid. */
+    /* Includes the time for which the machine was suspended.  CLOCK_MONOTONIC
+     * does not: a VM that resumes would take expired leases for valid. */
     clock_gettime(CLOCK_BOOTTIME, &now);
     return now;
 }
--- a/src/base/cw_yaml.c
+++ b/src/base/cw_yaml.c
@@ -1,10 +1,11 @@
-/* Loading YAML by a schema, with every message of the parser kept. */
+/* Loading of YAML according to a schema, with all error messages of libcyaml.
+ */
 #include "curlewcart/cw_yaml.h"
 
 #include <stdio.h>
 #include <string.h>
 
-/* libcyaml reports through a callback; keep errors, drop debug. */
+/* Log callback of libcyaml: appends errors to `problems`, drops the rest. */
 static void
 collect_message(cyaml_log_t level, void *context, const char *format,
                 va_list arguments)
@@ -41,7 +42,7 @@
     *out = NULL;
     error = cyaml_load_data(text, length, &config, schema, out, NULL);
     if (error == CYAML_OK && *out == NULL) {
-        /* Nothing but comments loads well, as nothing. */
+        /* libcyaml reports success for a document without content. */
         error = CYAML_ERR_INVALID_KEY;
         g_string_append(problems, "the document is empty\n");
     }
--- a/src/settings/settings.c
+++ b/src/settings/settings.c
@@ -1,4 +1,4 @@
-/* Settings of a VM: schema and checks. */
+/* Loads the settings of a VM: schema and checks. */
 #include "curlewcart/cw_settings.h"
 
 #include <stdbool.h>
@@ -12,7 +12,7 @@
 enum {
     TEXT_MAX = 1024,
     PORT_MAX = 65535,
-    TRUSTED_MAX = 256,
+    TRUSTED_OPERATORS_MAX = 256,
     CONTRACTS_MAX = 256,
     PROCESSOR_CORES_MAX = 4096
 };
@@ -70,7 +70,7 @@
     TEXT("seal_key_file", 0, struct cw_settings_api, seal_key_file),
     CYAML_FIELD_SEQUENCE("trusted_operators", CYAML_FLAG_POINTER,
                          struct cw_settings_api, trusted_operators,
-                         &trusted_value, 1, TRUSTED_MAX),
+                         &trusted_value, 1, TRUSTED_OPERATORS_MAX),
     TEXT("certificate_file", CYAML_FLAG_OPTIONAL, struct cw_settings_api,
          certificate_file),
     TEXT("key_file", CYAML_FLAG_OPTIONAL, struct cw_settings_api, key_file),
@@ -131,10 +131,10 @@
     }
 }
 
-/* ---- our own interface ---- */
+/* ---- the project's own interface ---- */
 
 static bool
-read_hex(const char *text, unsigned char *out, size_t size)
+decode_hex(const char *text, unsigned char *out, size_t size)
 {
     size_t length = 0;
 
@@ -149,16 +149,16 @@
     unsigned char key[crypto_sign_PUBLICKEYBYTES];
 
     for (unsigned i = 0; i < api->trusted_operators_count; i++) {
-        if (!read_hex(api->trusted_operators[i].public_key, key, sizeof(key)))
-        {
+        if (!decode_hex(api->trusted_operators[i].public_key, key,
+                        sizeof(key))) {
             g_string_append(problems, "api.trusted_operators.public_key: "
                                       "expected 64 hex digits\n");
         }
     }
 }
 
-/* A VM serves either the platform's callers or our own interface: each has a
- * configuration of its own. */
+/* Checks that a VM serves either the platform's callers or the project's own
+ * interface, not both: each of the two has its own configuration. */
 static void
 check_interface(const struct cw_settings *settings, GString *problems)
 {
@@ -178,7 +178,7 @@
 }
 
 static void
-read_seal_key(const char *path, unsigned char *key, GString *problems)
+load_seal_key(const char *path, unsigned char *key, GString *problems)
 {
     struct stat info;
     char *text = NULL;
@@ -193,7 +193,7 @@
         g_string_append(problems, "api.seal_key_file: expected a file that "
                                   "only its owner may read (mode 0600)\n");
     }
-    if (!read_hex(text, key, CW_MAC_BYTES)) {
+    if (!decode_hex(text, key, CW_MAC_BYTES)) {
         g_string_append(problems,
                         "api.seal_key_file: expected 64 hex digits in it\n");
     }
@@ -202,7 +202,7 @@
 }
 
 static void
-read_pem(const char *field, const char *path, char **out, GString *problems)
+load_pem(const char *field, const char *path, char **out, GString *problems)
 {
     if (path != NULL && !g_file_get_contents(path, out, NULL, NULL)) {
         g_string_append_printf(problems, "%s: expected a readable file\n",
@@ -215,23 +215,23 @@
 {
     const struct cw_settings_api *api = settings->api;
     struct cw_settings_secrets *secrets;
-    size_t before = problems->len;
+    size_t problems_before = problems->len;
 
     if (api == NULL) {
         return NULL;
     }
     secrets = g_new0(struct cw_settings_secrets, 1);
-    read_seal_key(api->seal_key_file, secrets->seal_key, problems);
-    if (!read_hex(api->operator_token_hash, secrets->operator_token_hash,
-                  CW_HASH_BYTES))
+    load_seal_key(api->seal_key_file, secrets->seal_key, problems);
+    if (!decode_hex(api->operator_token_hash, secrets->operator_token_hash,
+                    CW_HASH_BYTES))
     {
         g_string_append(problems,
                         "api.operator_token_hash: expected 64 hex digits\n");
     }
-    read_pem("api.certificate_file", api->certificate_file,
+    load_pem("api.certificate_file", api->certificate_file,
              &secrets->certificate, problems);
-    read_pem("api.key_file", api->key_file, &secrets->private_key, problems);
-    if (problems->len != before) {
+    load_pem("api.key_file", api->key_file, &secrets->private_key, problems);
+    if (problems->len != problems_before) {
         g_free(secrets->certificate);
         g_free(secrets->private_key);
         g_free(secrets);
@@ -241,7 +241,7 @@
 }
 
 static void
-check(const struct cw_settings *settings, GString *problems)
+check_settings(const struct cw_settings *settings, GString *problems)
 {
     const char *level = settings->log_level;
 
@@ -290,7 +290,7 @@
         goto done;
     }
     settings = loaded;
-    check(settings, problems);
+    check_settings(settings, problems);
     if (problems->len > 0) {
         cw_settings_free(settings);
         settings = NULL;
--- a/src/story/story.c
+++ b/src/story/story.c
@@ -1,25 +1,26 @@
-/* Joining log lines into stories. */
+/* Analysis of log lines: the history of a request and of the whole system. */
 #include "curlewcart/cw_story.h"
 
 #include <stdlib.h>
 #include <string.h>
 
 enum {
-    /* What a request waits for its start and is not worth a word. */
-    PROMPT_MS = 300,
-    STAMP_LENGTH = 24,
+    /* Longer waits for an owner or a placement are reported as the cause of a
+     * delay. */
+    PROMPT_START_MAX_MS = 300,
+    TIMESTAMP_LENGTH = 24,
     MS_PER_S = 1000
 };
 
-/* A line, split. */
+/* A parsed log line. */
 struct line {
-    char *stamp; /* sorts by time */
+    char *timestamp;
     int64_t at_ms;
     char *vm;
     char *event;
-    char *rest;         /* after the event */
+    char *rest;         /* from the event to the end of the line */
     GHashTable *fields; /* key -> value */
-    guint order;        /* as added; keeps equal stamps in order */
+    guint order;        /* as added; sorts lines with equal timestamps */
 };
 
 struct cw_story {
@@ -31,7 +32,7 @@
 {
     struct line *line = data;
 
-    g_free(line->stamp);
+    g_free(line->timestamp);
     g_free(line->vm);
     g_free(line->event);
     g_free(line->rest);
@@ -42,30 +43,31 @@
 struct cw_story *
 cw_story_create(void)
 {
-    struct cw_story *story = g_new0(struct cw_story, 1);
+    struct cw_story *analysis = g_new0(struct cw_story, 1);
 
-    story->lines = g_ptr_array_new_with_free_func(line_free);
-    return story;
+    analysis->lines = g_ptr_array_new_with_free_func(line_free);
+    return analysis;
 }
 
 void
-cw_story_free(struct cw_story *story)
+cw_story_free(struct cw_story *analysis)
 {
-    g_ptr_array_unref(story->lines);
-    g_free(story);
+    g_ptr_array_unref(analysis->lines);
+    g_free(analysis);
 }
 
 size_t
-cw_story_lines(const struct cw_story *story)
+cw_story_lines(const struct cw_story *analysis)
 {
-    return story->lines->len;
+    return analysis->lines->len;
 }
 
-/* ---- reading ---- */
+/* ---- parsing ---- */
 
-/* Takes the next key=value off `text`; a value in quotes may hold blanks. */
+/* Adds the first key=value of `text` to `fields`; a value in quotes may
+ * contain spaces.  Returns the text after it, or NULL at the end. */
 static const char *
-take_field(const char *text, GHashTable *fields)
+parse_field(const char *text, GHashTable *fields)
 {
     const char *equals;
     const char *end;
@@ -90,7 +92,7 @@
 }
 
 static const char *
-field(const struct line *line, const char *name)
+get_field(const struct line *line, const char *name)
 {
     const char *value = g_hash_table_lookup(line->fields, name);
 
@@ -98,15 +100,15 @@
 }
 
 static int64_t
-number(const struct line *line, const char *name)
+get_number(const struct line *line, const char *name)
 {
-    return g_ascii_strtoll(field(line, name), NULL, 10);
+    return g_ascii_strtoll(get_field(line, name), NULL, 10);
 }
 
 static int64_t
-stamp_ms(const char *stamp)
+parse_timestamp_ms(const char *timestamp)
 {
-    GDateTime *time = g_date_time_new_from_iso8601(stamp, NULL);
+    GDateTime *time = g_date_time_new_from_iso8601(timestamp, NULL);
     int64_t ms = 0;
 
     if (time != NULL) {
@@ -118,33 +120,33 @@
 }
 
 void
-cw_story_add(struct cw_story *story, const char *text)
+cw_story_add(struct cw_story *analysis, const char *text)
 {
-    const char *begin = strstr(text, "ts=");
+    const char *timestamp_field = strstr(text, "ts=");
     const char *event = strstr(text, " event=");
-    const char *next = begin;
+    const char *next = timestamp_field;
     struct line *line;
 
-    if (begin == NULL || event == NULL || event < begin) {
+    if (timestamp_field == NULL || event == NULL || event < timestamp_field) {
         return;
     }
     line = g_new0(struct line, 1);
     line->fields =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     while (next != NULL) {
-        next = take_field(next, line->fields);
+        next = parse_field(next, line->fields);
     }
-    line->stamp = g_strdup(field(line, "ts"));
-    line->at_ms = stamp_ms(line->stamp);
-    line->vm = g_strdup(field(line, "vm"));
-    line->event = g_strdup(field(line, "event"));
+    line->timestamp = g_strdup(get_field(line, "ts"));
+    line->at_ms = parse_timestamp_ms(line->timestamp);
+    line->vm = g_strdup(get_field(line, "vm"));
+    line->event = g_strdup(get_field(line, "event"));
     line->rest = g_strchomp(g_strdup(event + 1));
-    line->order = story->lines->len;
-    g_ptr_array_add(story->lines, line);
+    line->order = analysis->lines->len;
+    g_ptr_array_add(analysis->lines, line);
 }
 
 static gint
-by_time(gconstpointer a, gconstpointer b)
+compare_time(gconstpointer a, gconstpointer b)
 {
     const struct line *x = *(struct line *const *)a;
     const struct line *y = *(struct line *const *)b;
@@ -161,9 +163,9 @@
     return strcmp(line->event, event) == 0;
 }
 
-/* Events that concern all requests at the time. */
+/* True for events that may affect every request in progress. */
 static bool
-is_general(const struct line *line)
+is_system_event(const struct line *line)
 {
     static const char *const events[] = {
         "owner_begins", "owner_ends",      "owner_yields",
@@ -188,80 +190,81 @@
                            line->at_ms - from_ms, line->vm, line->rest);
 }
 
-/* ---- the cause ---- */
+/* ---- cause of a request's outcome ---- */
 
-/* What of a request's life decides its fate. */
-struct life {
+/* The log lines of a request that its outcome and its delay depend on. */
+struct request {
     const struct line *first;
     const struct line *refused; /* last submission that was not stored */
     const struct line *stored;
-    const struct line *taken; /* by the first owner */
-    const struct line *over;
+    const struct line *taken; /* by its first owner */
+    const struct line *ended;
     const struct line *placed;
     const struct line *started;
     const struct line *failed;   /* last run that failed */
     const struct line *lost;     /* last run that was lost */
-    const struct line *crashed;  /* the last that counts against a task */
-    const struct line *moved;    /* left a slow worker */
-    const struct line *reserved; /* waited for others to leave */
+    const struct line *crashed;  /* last crash that a task is suspected of */
+    const struct line *moved;    /* run moved from a slow or stalled worker */
+    const struct line *reserved; /* placement that waited for other runs to
+                                    stop */
     unsigned owners;
     unsigned failures;
 };
 
 static void
-note_line(struct life *life, const struct line *line)
+add_to_request(struct request *request, const struct line *line)
 {
-    if (life->first == NULL) {
-        life->first = line;
+    if (request->first == NULL) {
+        request->first = line;
     }
     if (is_event(line, "submit")) {
-        bool stored = strcmp(field(line, "outcome"), "stored") == 0;
+        bool stored = strcmp(get_field(line, "outcome"), "stored") == 0;
 
-        if (stored && life->stored == NULL) {
-            life->stored = line;
+        if (stored && request->stored == NULL) {
+            request->stored = line;
         }
-        else if (!stored && strcmp(field(line, "outcome"), "known") != 0) {
-            life->refused = line;
+        else if (!stored && strcmp(get_field(line, "outcome"), "known") != 0) {
+            request->refused = line;
         }
     }
     else if (is_event(line, "job_taken")) {
-        life->taken = life->taken != NULL ? life->taken : line;
-        life->owners++;
+        request->taken = request->taken != NULL ? request->taken : line;
+        request->owners++;
     }
     else if (is_event(line, "job_over")) {
-        life->over = line;
+        request->ended = line;
     }
     else if (is_event(line, "placed")) {
-        life->placed = life->placed != NULL ? life->placed : line;
-        if (strcmp(field(line, "reserved"), "1") == 0) {
-            life->reserved = line;
+        request->placed = request->placed != NULL ? request->placed : line;
+        if (strcmp(get_field(line, "reserved"), "1") == 0) {
+            request->reserved = line;
         }
     }
     else if (is_event(line, "start")) {
-        life->started = life->started != NULL ? life->started : line;
+        request->started = request->started != NULL ? request->started : line;
     }
     else if (is_event(line, "run_ended") &&
-             strcmp(field(line, "how"), "failed") == 0)
+             strcmp(get_field(line, "how"), "failed") == 0)
     {
-        life->failed = line;
-        life->failures++;
+        request->failed = line;
+        request->failures++;
     }
     else if (is_event(line, "run_lost")) {
-        life->lost = line;
+        request->lost = line;
     }
     else if (is_event(line, "task_suspect")) {
-        life->crashed = line;
+        request->crashed = line;
     }
     else if (is_event(line, "run_moved") || is_event(line, "run_stalled")) {
-        life->moved = line;
+        request->moved = line;
     }
 }
 
 static void
-explain_refusal(const struct life *life, GString *out)
+explain_refusal(const struct request *request, GString *out)
 {
-    const struct line *line = life->refused;
-    const char *outcome = field(line, "outcome");
+    const struct line *line = request->refused;
+    const char *outcome = get_field(line, "outcome");
 
     if (strcmp(outcome, "other_job") == 0) {
         g_string_append(out, "cause: the id was used for another job\n");
@@ -271,103 +274,111 @@
         out,
         "cause: %s could not have it stored (%s after %s tries, store "
         "%s%s); the caller was told %s\n",
-        line->vm, outcome, field(line, "tries"),
-        field(line, "store")[0] != '\0' ? field(line, "store") : "not asked",
-        strcmp(field(line, "isolated"), "1") == 0 ? ", cut off" : "",
+        line->vm, outcome, get_field(line, "tries"),
+        get_field(line, "store")[0] != '\0' ? get_field(line, "store")
+                                            : "not asked",
+        strcmp(get_field(line, "isolated"), "1") == 0 ? ", cut off" : "",
         strcmp(outcome, "unsure") == 0 ? "that it may be stored"
                                        : "that nothing was done");
 }
 
-/* The longest of what can make a job late. */
+/* Explains why a job is late or still open by the first cause that applies:
+ * runs that were lost, failed or moved, then waits before its start. */
 static void
-explain_delay(const struct life *life, GString *out)
+explain_delay(const struct request *request, GString *out)
 {
-    int64_t accepted_ms =
-        life->stored != NULL ? life->stored->at_ms : life->first->at_ms;
-    int64_t taken_ms = life->taken->at_ms - accepted_ms;
-    int64_t placed_ms =
-        life->placed != NULL ? life->placed->at_ms - life->taken->at_ms : 0;
-
-    if (life->lost != NULL) {
-        g_string_append_printf(
-            out, "cause: a run was lost on worker %s (%s)\n",
-            field(life->lost, "worker"), field(life->lost, "reason"));
+    int64_t accepted_ms = request->stored != NULL ? request->stored->at_ms
+                                                  : request->first->at_ms;
+    int64_t taken_ms = request->taken->at_ms - accepted_ms;
+    int64_t placed_ms = request->placed != NULL
+                            ? request->placed->at_ms - request->taken->at_ms
+                            : 0;
+
+    if (request->lost != NULL) {
+        g_string_append_printf(out,
+                               "cause: a run was lost on worker %s (%s)\n",
+                               get_field(request->lost, "worker"),
+                               get_field(request->lost, "reason"));
     }
-    else if (life->failures > 0) {
+    else if (request->failures > 0) {
         g_string_append_printf(out,
                                "cause: %u runs failed, the last on worker "
                                "%s\n",
-                               life->failures, field(life->failed, "worker"));
+                               request->failures,
+                               get_field(request->failed, "worker"));
     }
-    else if (life->moved != NULL) {
+    else if (request->moved != NULL) {
         g_string_append_printf(out,
-                               "cause: worker %s was slow or stood "
-                               "still (%s)\n",
-                               field(life->moved, "worker"),
-                               life->moved->event);
+                               "cause: worker %s was slow or made no "
+                               "progress (%s)\n",
+                               get_field(request->moved, "worker"),
+                               request->moved->event);
     }
-    else if (taken_ms > PROMPT_MS) {
+    else if (taken_ms > PROMPT_START_MAX_MS) {
         g_string_append_printf(
             out, "cause: no owner took it for %" G_GINT64_FORMAT " ms\n",
             taken_ms);
     }
-    else if (life->owners > 1) {
+    else if (request->owners > 1) {
         g_string_append_printf(out, "cause: the owner changed %u times\n",
-                               life->owners - 1);
+                               request->owners - 1);
     }
-    else if (placed_ms > PROMPT_MS) {
+    else if (placed_ms > PROMPT_START_MAX_MS) {
         g_string_append_printf(
-            out, "cause: no room for %" G_GINT64_FORMAT " ms\n", placed_ms);
+            out, "cause: no free capacity for %" G_GINT64_FORMAT " ms\n",
+            placed_ms);
     }
-    else if (life->reserved != NULL) {
+    else if (request->reserved != NULL) {
         g_string_append(out, "cause: others had to leave its place first\n");
     }
     else {
-        g_string_append(out, "cause: its work took so long; it was started "
-                             "at once and ran through\n");
+        g_string_append(out, "cause: its work took this long; it was started "
+                             "at once and was not interrupted\n");
     }
 }
 
 static void
-explain_crashes(const struct life *life, GString *out)
+explain_crashes(const struct request *request, GString *out)
 {
-    const struct line *last = life->crashed;
+    const struct line *last = request->crashed;
 
     g_string_append_printf(
         out,
         "cause: workers that had started it crashed one after the other, the "
         "last, %s, under task %s\n",
-        last != NULL ? field(last, "worker") : "?",
-        last != NULL ? field(last, "task") : "?");
+        last != NULL ? get_field(last, "worker") : "?",
+        last != NULL ? get_field(last, "task") : "?");
 }
 
 static void
-explain_end(const struct life *life, GString *out)
+explain_end(const struct request *request, GString *out)
 {
-    const char *outcome = field(life->over, "outcome");
-    const char *reason = field(life->over, "reason");
+    const char *outcome = get_field(request->ended, "outcome");
+    const char *reason = get_field(request->ended, "reason");
 
     if (strcmp(outcome, "cancelled") == 0) {
         g_string_append(out, "cause: its caller cancelled it\n");
     }
     else if (strcmp(reason, "workers_crashed") == 0) {
-        explain_crashes(life, out);
+        explain_crashes(request, out);
     }
     else if (strcmp(outcome, "failed") == 0) {
         g_string_append_printf(
             out,
             "cause: its attempts are spent: %u runs failed, the last "
             "task %s on worker %s\n",
-            life->failures,
-            life->failed != NULL ? field(life->failed, "task") : "?",
-            life->failed != NULL ? field(life->failed, "worker") : "?");
+            request->failures,
+            request->failed != NULL ? get_field(request->failed, "task") : "?",
+            request->failed != NULL ? get_field(request->failed, "worker")
+                                    : "?");
     }
     else if (strcmp(outcome, "lost") == 0) {
         g_string_append_printf(
             out,
             "cause: worker %s may have run it in part (%s), and it must not "
-            "be begun a second time\n",
-            life->lost != NULL ? field(life->lost, "worker") : "?", reason);
+            "be started twice\n",
+            request->lost != NULL ? get_field(request->lost, "worker") : "?",
+            reason);
     }
     else if (strcmp(outcome, "stopped") == 0) {
         g_string_append(out, "cause: a newer configuration forbids the data "
@@ -377,8 +388,8 @@
         g_string_append(out, "cause: it had not been started by the deadline "
                              "that its caller gave\n");
     }
-    else if (number(life->over, "late_ms") > 0) {
-        explain_delay(life, out);
+    else if (get_number(request->ended, "late_ms") > 0) {
+        explain_delay(request, out);
     }
     else {
         g_string_append(out, "cause: none; it ended in time\n");
@@ -386,38 +397,39 @@
 }
 
 static void
-explain_cause(const struct life *life, GString *out)
+explain_cause(const struct request *request, GString *out)
 {
-    if (life->over != NULL && life->taken != NULL) {
-        explain_end(life, out);
+    if (request->ended != NULL && request->taken != NULL) {
+        explain_end(request, out);
     }
-    else if (life->taken == NULL && life->refused != NULL &&
-             life->stored == NULL) {
-        explain_refusal(life, out);
+    else if (request->taken == NULL && request->refused != NULL &&
+             request->stored == NULL)
+    {
+        explain_refusal(request, out);
     }
-    else if (life->taken == NULL) {
+    else if (request->taken == NULL) {
         g_string_append(out, "cause: it was stored, and no owner has taken "
                              "it in these logs\n");
     }
     else {
         g_string_append(out, "still open: ");
-        explain_delay(life, out);
+        explain_delay(request, out);
     }
 }
 
 size_t
-cw_story_explain(struct cw_story *story, const char *id, GString *out)
+cw_story_explain(struct cw_story *analysis, const char *id, GString *out)
 {
-    struct life life = {0};
+    struct request request = {0};
     const struct line *last = NULL;
     size_t count = 0;
 
-    g_ptr_array_sort(story->lines, by_time);
-    for (guint i = 0; i < story->lines->len; i++) {
-        const struct line *line = story->lines->pdata[i];
+    g_ptr_array_sort(analysis->lines, compare_time);
+    for (guint i = 0; i < analysis->lines->len; i++) {
+        const struct line *line = analysis->lines->pdata[i];
 
-        if (strcmp(field(line, "id"), id) == 0) {
-            note_line(&life, line);
+        if (strcmp(get_field(line, "id"), id) == 0) {
+            add_to_request(&request, line);
             last = line;
             count++;
         }
@@ -425,42 +437,42 @@
     if (count == 0) {
         return 0;
     }
-    for (guint i = 0; i < story->lines->len; i++) {
-        const struct line *line = story->lines->pdata[i];
-        bool own = strcmp(field(line, "id"), id) == 0;
-        bool meanwhile =
-            line->at_ms >= life.first->at_ms && line->at_ms <= last->at_ms;
+    for (guint i = 0; i < analysis->lines->len; i++) {
+        const struct line *line = analysis->lines->pdata[i];
+        bool is_of_request = strcmp(get_field(line, "id"), id) == 0;
+        bool is_during_request =
+            line->at_ms >= request.first->at_ms && line->at_ms <= last->at_ms;
 
-        if (own || (meanwhile && is_general(line))) {
-            print_line(line, life.first->at_ms, out);
+        if (is_of_request || (is_during_request && is_system_event(line))) {
+            print_line(line, request.first->at_ms, out);
         }
     }
-    explain_cause(&life, out);
+    explain_cause(&request, out);
     return count;
 }
 
 /* ---- the whole system ---- */
 
 void
-cw_story_timeline(struct cw_story *story, GString *out)
+cw_story_timeline(struct cw_story *analysis, GString *out)
 {
     int64_t from_ms = 0;
     unsigned refused = 0;
 
-    g_ptr_array_sort(story->lines, by_time);
-    for (guint i = 0; i < story->lines->len; i++) {
-        const struct line *line = story->lines->pdata[i];
+    g_ptr_array_sort(analysis->lines, compare_time);
+    for (guint i = 0; i < analysis->lines->len; i++) {
+        const struct line *line = analysis->lines->pdata[i];
 
         if (i == 0) {
             from_ms = line->at_ms;
         }
         if (is_event(line, "submit") &&
-            (strcmp(field(line, "outcome"), "not_done") == 0 ||
-             strcmp(field(line, "outcome"), "unsure") == 0))
+            (strcmp(get_field(line, "outcome"), "not_done") == 0 ||
+             strcmp(get_field(line, "outcome"), "unsure") == 0))
         {
             refused++;
         }
-        if (!is_general(line)) {
+        if (!is_system_event(line)) {
             continue;
         }
         if (refused > 0) {
--- a/src/vm/internal/vm_private.h
+++ b/src/vm/internal/vm_private.h
@@ -1,4 +1,4 @@
-/* Inside a VM: its parts, and what it listens on. */
+/* State of a VM, shared by the files in src/vm. */
 #ifndef CURLEWCART_VM_PRIVATE_H
 #define CURLEWCART_VM_PRIVATE_H
 
@@ -22,7 +22,7 @@
     struct cw_settings *settings;
     const char *settings_path;
     pthread_mutex_t engine_lock;
-    bool running; /* under the lock: all parts exist */
+    bool running; /* all components exist; protected by the lock */
     struct cw_clock *clock;
     struct cw_http_client *client;
     struct cw_http_server *callers;
@@ -33,21 +33,21 @@
     struct cw_targets *targets;
     struct cw_replica *replica;
     struct cw_follower *routing;
-    struct cw_cordons *cordons; /* or NULL, with our own interface */
+    struct cw_cordons *cordons; /* NULL with the project's own interface */
     struct cw_load_gate load_gate;
     struct cw_entry *entry;
     struct cw_owner *owner;
     struct cw_counters counters;
-    unsigned contracts_unserved; /* of the platform, in force */
+    unsigned contracts_unsupported; /* in force at the platform */
     struct platform_call_handler handler;
-    struct cw_settings_secrets *secrets; /* with our own interface */
-    struct cw_api *api;                  /* our own interface, or NULL */
+    struct cw_settings_secrets *secrets; /* NULL if `api` is */
+    struct cw_api *api; /* the project's own interface, or NULL */
 };
 
 /* ---- vm_listen.c ---- */
 
-/* Listens on all addresses of the settings; false (and logged) if callers
- * could not be served. */
+/* Listens on all addresses of the settings.  Logs each failure; returns false
+ * if the listener for callers or for readiness checks could not be created. */
 bool vm_listen(struct cw_vm *vm);
 
 #endif
--- a/src/vm/vm.c
+++ b/src/vm/vm.c
@@ -1,4 +1,5 @@
-/* Wires a VM's parts together: threads, listeners, signals. */
+/* The daemon of a VM: creates its components, handles signals and shuts it
+ * down. */
 #include "curlewcart/cw_vm.h"
 
 #include <inttypes.h>
@@ -14,27 +15,32 @@
 #include "vm/internal/vm_private.h"
 
 enum {
-    EXIT_START = 1,
-    /* Configurations are rare and must be in force within 2 s. */
+    EXIT_START_FAILED = 1,
+    /* Longest wait of a read of the configuration's topic: a configuration
+     * must be in force within 2 s, and changes are rare. */
     ROUTING_WAIT_MS = 1000,
-    /* Above the least that the store takes by so much: five calls fit in, and
-     * a dead owner is replaced soon. */
+    /* Time to live of a group member, as a percentage of the shortest that
+     * the store allows: five heartbeats fit into it, and a failed owner is
+     * replaced soon. */
     MEMBER_TTL_PERCENT = 130,
     PERCENT = 100,
     MILLI = 1000,
-    /* The balancer asks every second and needs two misses. */
-    LEAVE_LEAST_MS = 2600,
+    /* Time for which a leaving VM still serves: the load balancer checks
+     * every second and removes a VM after two failed checks. */
+    LEAVE_MIN_MS = 2600,
+    /* Part of the grace period that is left over before SIGKILL. */
     LEAVE_RESERVE_MS = 900,
-    LEAVE_STEP_MS = 10,
-    /* Out of the reserve, to send the last answers. */
-    LEAVE_LAST_MS = 300,
-    /* Descriptors that are not for sockets, as the platform says. */
+    LEAVE_POLL_MS = 10,
+    /* Part of the reserve that may be used to send the last answers. */
+    LEAVE_FLUSH_MS = 300,
+    /* Descriptors that the platform says are not available for sockets. */
     RESERVED_DESCRIPTORS = 200,
-    /* Of the others, for connections to workers and the store; the rest are
-     * for callers. */
-    CLIENT_PARTS = 7,
-    ALL_PARTS = 8,
-    /* Ended jobs are kept beyond what is promised, for repeated calls. */
+    /* Share of the other descriptors for connections to workers and the
+     * store; callers' connections get the rest. */
+    CLIENT_EIGHTHS = 7,
+    EIGHTHS = 8,
+    /* Ended jobs are kept for longer than the platform requires, so that
+     * repeated calls still find them. */
     RETAIN_EXTRA_S = 60
 };
 
@@ -49,7 +55,8 @@
     cw_owner_configure(vm->owner, routing);
 }
 
-/* The platform's operator wrote a configuration. */
+/* Puts a configuration that an operator of the platform wrote into force,
+ * unless it is older than the current one. */
 static void
 on_routing(void *context, const struct cw_store_record *record)
 {
@@ -82,7 +89,7 @@
     cw_routing_unref(routing);
 }
 
-/* A record of the operators: a configuration, or an order. */
+/* Handles a record of the operators: a configuration or a command. */
 static void
 on_operator_record(void *context, const struct cw_store_record *record)
 {
@@ -126,18 +133,19 @@
 /* ---- ticking ---- */
 
 static void
-on_message(void *context)
+on_relay_readable(void *context)
 {
     struct cw_vm *vm = context;
 
     cw_relay_receive(vm->relay);
 }
 
-/* Reads the log of jobs on; returns when it is to be called next.  With the
- * product's own interface the configuration comes through the API, and all VMs
- * read at once. */
+/* Continues to read the log of jobs; returns the time of the next call.  The
+ * load gate applies only to the platform's interface: with the project's own,
+ * the configuration comes through the API, and all VMs read the log at once.
+ */
 static struct timespec
-tick_jobs(struct cw_vm *vm, struct timespec now)
+tick_jobs_follower(struct cw_vm *vm, struct timespec now)
 {
     struct cw_follower *jobs = cw_replica_follower(vm->replica);
 
@@ -162,7 +170,7 @@
     pthread_mutex_lock(&vm->engine_lock);
     if (vm->running) {
         now = cw_clock_now(vm->clock);
-        next = tick_jobs(vm, now);
+        next = tick_jobs_follower(vm, now);
         if (vm->api != NULL) {
             cw_time_earlier(&next, cw_api_tick(vm->api, now));
         }
@@ -174,7 +182,7 @@
         cw_time_earlier(&next, cw_entry_tick(vm->entry, now));
         cw_time_earlier(&next, cw_owner_tick(vm->owner, now));
         cw_time_earlier(&next, cw_relay_tick(vm->relay, now));
-        /* Rounded up: waking a little early would only cost another turn. */
+        /* Rounded up: a wake-up before `next` would find nothing due. */
         wait_ms = cw_time_diff_ms(cw_clock_now(vm->clock), next) + 1;
     }
     pthread_mutex_unlock(&vm->engine_lock);
@@ -209,16 +217,17 @@
     vm->api = cw_api_create(&options);
 }
 
-/* Thousandths of a core; 0 unknown. */
+/* The VM's processor in thousandths of a usual core; 0 if unknown. */
 static unsigned
-capacity_of(const struct cw_settings_processor *processor)
+processor_capacity_milli(const struct cw_settings_processor *processor)
 {
     double cores = processor->cores > 0 ? processor->cores : 1;
 
     return (unsigned)lround(processor->share * cores * MILLI);
 }
 
-/* Callers of our own interface wait for the end; the platform's ask. */
+/* Callers of the project's own interface wait for the end of a job; the
+ * platform's callers poll, and a poll reads the log on demand. */
 static unsigned
 standby_read_interval_ms(const struct cw_settings *settings)
 {
@@ -226,23 +235,23 @@
                                  : CW_ON_DEMAND_READ_INTERVAL_MS;
 }
 
-/* Connections to keep open.  An owner needs two a worker: with fewer it would
- * make new ones all the time. */
+/* Limit on the connections that are kept open.  An owner needs two for each
+ * worker: with fewer it would open new ones continuously. */
 static unsigned
 pool_connections_max(const struct cw_settings *settings)
 {
     if (settings->descriptors <= RESERVED_DESCRIPTORS) {
         return CW_HTTP_POOL_CONNECTIONS_DEFAULT;
     }
-    return (settings->descriptors - RESERVED_DESCRIPTORS) * CLIENT_PARTS /
-           ALL_PARTS;
+    return (settings->descriptors - RESERVED_DESCRIPTORS) * CLIENT_EIGHTHS /
+           EIGHTHS;
 }
 
 static void
 create_engine(struct cw_vm *vm)
 {
     const struct cw_settings *settings = vm->settings;
-    uint64_t life = 0;
+    uint64_t incarnation = 0;
     char *member;
     struct cw_store *store;
     struct platform_options platform = {.client = vm->client,
@@ -261,7 +270,7 @@
         .lease_ms = settings->bounds.lease_ms,
         .report_ms = settings->bounds.report_ms,
         .cordon_ms = settings->bounds.cordon_ms,
-        .capacity_milli = capacity_of(&settings->processor),
+        .capacity_milli = processor_capacity_milli(&settings->processor),
         .standby_read_interval_ms = standby_read_interval_ms(settings),
         .exposes_placements = settings->api != NULL,
         .connections_max = pool_connections_max(settings),
@@ -284,7 +293,8 @@
                                          .context = vm};
 
     store = cw_relay_store(vm->relay);
-    cw_load_gate_init(&vm->load_gate, capacity_of(&settings->processor),
+    cw_load_gate_init(&vm->load_gate,
+                      processor_capacity_milli(&settings->processor),
                       cw_clock_now(vm->clock));
     vm->targets = platform_targets_new(&platform);
     replica.store = store;
@@ -292,11 +302,12 @@
     entry.store = store;
     entry.replica = vm->replica;
     vm->entry = cw_entry_create(&entry);
-    /* A name for this life of the process: a restarted one is another
-     * member, so that no two share a generation and with it an epoch. */
-    randombytes_buf(&life, sizeof(life));
-    member =
-        cw_relay_member_name(settings->vm, cw_relay_address(vm->relay), life);
+    /* The member's name is unique to this incarnation of the process: after a
+     * restart the VM is another member, so that no two processes share a
+     * generation and thus an epoch. */
+    randombytes_buf(&incarnation, sizeof(incarnation));
+    member = cw_relay_member_name(settings->vm, cw_relay_address(vm->relay),
+                                  incarnation);
     if (settings->api == NULL) {
         vm->cordons = cw_cordons_create(&cordons);
     }
@@ -320,8 +331,8 @@
     }
 }
 
-/* The relay's socket has to exist before the thread that waits for it; its
- * calls only begin with the first tick. */
+/* Creates the relay before the HTTP client, whose thread waits for the relay's
+ * socket.  The relay sends nothing before its first tick. */
 static bool
 create_relay(struct cw_vm *vm)
 {
@@ -349,7 +360,7 @@
                                         .store_address = vm->settings->store};
     struct cw_http_client_options client = {
         .tick = on_tick,
-        .readable = on_message,
+        .readable = on_relay_readable,
         .context = vm,
         .pool_connections_max = pool_connections_max(vm->settings)};
 
@@ -392,7 +403,7 @@
 }
 
 static void
-nap(unsigned ms)
+sleep_ms(unsigned ms)
 {
     struct timespec step = cw_time_from_ms(ms);
 
@@ -400,7 +411,7 @@
 }
 
 static unsigned
-pending(struct cw_vm *vm)
+pending_calls(struct cw_vm *vm)
 {
     unsigned count;
 
@@ -413,24 +424,26 @@
     return count;
 }
 
-/* Waits, up to a time after `began`, until no call is held or half sent. */
+/* Waits until no call is pending or being answered, until `max_ms` after
+ * `began_at` at the latest. */
 static void
-finish_calls(struct cw_vm *vm, struct timespec began, int64_t most_ms)
+finish_calls(struct cw_vm *vm, struct timespec began_at, int64_t max_ms)
 {
-    while (cw_time_diff_ms(began, cw_clock_now(vm->clock)) < most_ms &&
-           (pending(vm) > 0 || cw_http_server_active_calls(vm->callers) > 0))
+    while (cw_time_diff_ms(began_at, cw_clock_now(vm->clock)) < max_ms &&
+           (pending_calls(vm) > 0 ||
+            cw_http_server_active_calls(vm->callers) > 0))
     {
-        nap(LEAVE_STEP_MS);
+        sleep_ms(LEAVE_POLL_MS);
     }
 }
 
-/* Gives up the shard at once, serves on until the balancer has noticed, and
- * then until what was taken is answered. */
+/* Gives up the shard at once, serves until the load balancer has removed the
+ * VM, and then until all accepted calls are answered. */
 static void
 leave(struct cw_vm *vm)
 {
-    struct timespec began = cw_clock_now(vm->clock);
-    int64_t most_ms =
+    struct timespec began_at = cw_clock_now(vm->clock);
+    int64_t max_ms =
         (int64_t)vm->settings->bounds.grace_s * CW_MS_PER_S - LEAVE_RESERVE_MS;
 
     pthread_mutex_lock(&vm->engine_lock);
@@ -439,35 +452,37 @@
     pthread_mutex_unlock(&vm->engine_lock);
     cw_http_client_wake(vm->client);
     cw_http_server_disable_keepalive(vm->callers);
-    cw_log_info("leaving", "pending=%u", pending(vm));
-    nap((unsigned)MIN(LEAVE_LEAST_MS, most_ms));
-    /* Before the last look at what is held: a call that came in after it
-     * would be cut off. */
+    cw_log_info("leaving", "pending=%u", pending_calls(vm));
+    sleep_ms((unsigned)MIN(LEAVE_MIN_MS, max_ms));
+    /* Stops listening before the pending calls are counted for the last time:
+     * a call accepted after that would be cut off. */
     cw_http_server_quiesce(vm->callers);
-    finish_calls(vm, began, most_ms);
+    finish_calls(vm, began_at, max_ms);
     if (vm->api != NULL) {
         pthread_mutex_lock(&vm->engine_lock);
         cw_api_answer_all_pending(vm->api);
         pthread_mutex_unlock(&vm->engine_lock);
     }
-    finish_calls(vm, began, most_ms + LEAVE_LAST_MS);
+    finish_calls(vm, began_at, max_ms + LEAVE_FLUSH_MS);
 }
 
-/* An operator learns from it what the platform expects and nobody does. */
+/* Logs and counts the contracts of the platform that this program does not
+ * support, so that operators can see which of them are not fulfilled. */
 static void
-tell_unserved_contracts(struct cw_vm *vm, const struct cw_settings *settings)
+report_unsupported_contracts(struct cw_vm *vm,
+                             const struct cw_settings *settings)
 {
-    unsigned unserved = 0;
+    unsigned unsupported = 0;
 
     for (unsigned i = 0; i < settings->contracts_count; i++) {
         if (!platform_supports_contract(settings->contracts[i])) {
-            unserved++;
+            unsupported++;
             cw_log_warning("contract_unserved", "name=%s",
                            settings->contracts[i]);
         }
     }
     pthread_mutex_lock(&vm->engine_lock);
-    vm->contracts_unserved = unserved;
+    vm->contracts_unsupported = unsupported;
     pthread_mutex_unlock(&vm->engine_lock);
 }
 
@@ -485,7 +500,7 @@
     else {
         cw_log_set_level(settings->log_level != NULL ? settings->log_level
                                                      : "info");
-        tell_unserved_contracts(vm, settings);
+        report_unsupported_contracts(vm, settings);
         cw_log_info("reload", "outcome=applied level=%s",
                     settings->log_level != NULL ? settings->log_level
                                                 : "info");
@@ -495,7 +510,7 @@
 }
 
 static int
-wait_for_end(struct cw_vm *vm, const sigset_t *signals)
+wait_for_termination(struct cw_vm *vm, const sigset_t *signals)
 {
     int received = 0;
 
@@ -529,18 +544,18 @@
     pthread_mutex_init(&vm->engine_lock, NULL);
     if (!start(vm)) {
         cw_log_error("stopped", "reason=not_started");
-        return EXIT_START;
+        return EXIT_START_FAILED;
     }
     write_ports(vm);
-    tell_unserved_contracts(vm, settings);
+    report_unsupported_contracts(vm, settings);
     cw_log_info("started", "dc=%s store=%s callers=%u lease_ms=%u",
                 settings->dc, settings->store,
                 cw_http_server_port(vm->callers), settings->bounds.lease_ms);
-    received = wait_for_end(vm, &signals);
+    received = wait_for_termination(vm, &signals);
     leave(vm);
     cw_log_info("stopped", "signal=%d", received);
     cw_log_flush();
-    /* Threads of the libraries may still hold what a tidy end would free;
-     * the process keeps nothing that has to be written. */
+    /* Nothing is freed: threads of the libraries may still use it.  The
+     * process has no data left to write. */
     _exit(0);
 }
--- a/src/vm/vm_listen.c
+++ b/src/vm/vm_listen.c
@@ -1,4 +1,4 @@
-/* What a VM listens on: callers, the balancer, metrics. */
+/* HTTP listeners of a VM: for callers, the load balancer and metrics. */
 #include <inttypes.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,12 +7,12 @@
 #include "vm/internal/vm_private.h"
 
 enum {
-    /* Connections at a time; a VM has 4,100 descriptors or more. */
-    CALLER_CONNECTIONS = 2000,
-    READY_CONNECTIONS = 64,
-    API_THREADS = 2,
-    CALLER_IDLE_S = 60,
-    CALLER_BODY_BYTES = 1024 * 1024
+    /* A VM may open at least 4,100 descriptors. */
+    CALLER_CONNECTIONS_MAX = 2000,
+    READY_CONNECTIONS_MAX = 64,
+    API_THREADS_DEFAULT = 2,
+    IDLE_TIMEOUT_S = 60,
+    BODY_BYTES_MAX = 1024 * 1024
 };
 
 static void
@@ -21,7 +21,7 @@
     struct cw_vm *vm = context;
 
     platform_handle_call(&vm->handler, call);
-    /* What the call queued is sent by the client's thread. */
+    /* The client's thread sends the requests that the call queued. */
     cw_http_client_wake(vm->client);
 }
 
@@ -52,7 +52,7 @@
     if (vm->cordons != NULL) {
         cordons = cw_cordons_count(vm->cordons);
     }
-    contracts = vm->contracts_unserved;
+    contracts = vm->contracts_unsupported;
     waiting = cw_entry_pending(vm->entry);
     pthread_mutex_unlock(&vm->engine_lock);
     cw_count_print(&vm->counters, out);
@@ -85,21 +85,22 @@
     cw_http_client_wake(vm->client);
 }
 
-/* Listens at HOST:PORT; the rest of the options is the caller's. */
+/* Listens at `address`, HOST:PORT.  Threads, connections, the handler and TLS
+ * are taken from `base_options`. */
 static struct cw_http_server *
-listen_with(struct cw_vm *vm, const char *address,
-            const struct cw_http_server_options *like)
+listen_with_options(struct cw_vm *vm, const char *address,
+                    const struct cw_http_server_options *base_options)
 {
     char *host = g_strdup(address);
     char *colon = strrchr(host, ':');
-    struct cw_http_server_options options = *like;
+    struct cw_http_server_options options = *base_options;
     struct cw_http_server *server;
 
     *colon = '\0';
     options.address = host;
     options.port = (uint16_t)strtoul(colon + 1, NULL, 10);
-    options.idle_timeout_s = CALLER_IDLE_S;
-    options.body_bytes_max = CALLER_BODY_BYTES;
+    options.idle_timeout_s = IDLE_TIMEOUT_S;
+    options.body_bytes_max = BODY_BYTES_MAX;
     options.context = vm;
     server = cw_http_server_create(&options);
     if (server == NULL) {
@@ -116,7 +117,7 @@
     const struct cw_http_server_options options = {
         .threads = 1, .connections = connections, .handle = handle};
 
-    return listen_with(vm, address, &options);
+    return listen_with_options(vm, address, &options);
 }
 
 static struct cw_http_server *
@@ -124,15 +125,15 @@
 {
     const struct cw_settings_api *api = vm->settings->api;
     const struct cw_http_server_options options = {
-        .threads = api->threads > 0 ? api->threads : API_THREADS,
+        .threads = api->threads > 0 ? api->threads : API_THREADS_DEFAULT,
         .connections =
-            api->connections > 0 ? api->connections : CALLER_CONNECTIONS,
+            api->connections > 0 ? api->connections : CALLER_CONNECTIONS_MAX,
         .tls_certificate = vm->secrets->certificate,
         .tls_key = vm->secrets->private_key,
         .handle = handle_api,
     };
 
-    return listen_with(vm, vm->settings->listen.api, &options);
+    return listen_with_options(vm, vm->settings->listen.api, &options);
 }
 
 bool
@@ -142,15 +143,15 @@
 
     if (listen->ready != NULL) {
         vm->ready =
-            listen_at(vm, listen->ready, READY_CONNECTIONS, handle_ready);
+            listen_at(vm, listen->ready, READY_CONNECTIONS_MAX, handle_ready);
     }
     vm->callers = listen->api != NULL
                       ? listen_api(vm)
-                      : listen_at(vm, listen->callers, CALLER_CONNECTIONS,
+                      : listen_at(vm, listen->callers, CALLER_CONNECTIONS_MAX,
                                   handle_caller);
-    if (listen->metrics != NULL) { /* its failure is logged, no more */
-        vm->metrics =
-            listen_at(vm, listen->metrics, READY_CONNECTIONS, handle_metrics);
+    if (listen->metrics != NULL) { /* failure is logged but not fatal */
+        vm->metrics = listen_at(vm, listen->metrics, READY_CONNECTIONS_MAX,
+                                handle_metrics);
     }
     return vm->callers != NULL && (vm->ready != NULL || listen->ready == NULL);
 }
--- a/tests/test_log.c
+++ b/tests/test_log.c
@@ -1,4 +1,5 @@
-/* Logs: bounded, never waiting, one line an event; and histograms. */
+/* Logs: one line for each event, bounded memory, and no blocking if the reader
+ * of standard output stops reading.  Also latency histograms. */
 #include "test_main.h"
 
 #include <fcntl.h>
@@ -8,27 +9,27 @@
 #include "curlewcart/cw_count.h"
 #include "curlewcart/cw_log.h"
 
-enum { LINES = 20000 };
+enum { FLOOD_LINES = 20000 };
 
-/* Standard output goes into a pipe meanwhile; what is in it at the end is
- * returned. */
+/* Runs `write_lines` with standard output redirected into a pipe that is read
+ * only afterwards.  Returns everything that was written. */
 static GString *
-capture(void (*run)(void))
+capture(void (*write_lines)(void))
 {
     GString *out = g_string_new(NULL);
     char buffer[4096];
-    int ends[2];
-    int saved = dup(STDOUT_FILENO);
+    int pipe_fds[2];
+    int saved_stdout = dup(STDOUT_FILENO);
     ssize_t length;
 
-    CU_ASSERT_EQUAL_FATAL(pipe(ends), 0);
+    CU_ASSERT_EQUAL_FATAL(pipe(pipe_fds), 0);
     fflush(stdout);
-    dup2(ends[1], STDOUT_FILENO);
+    dup2(pipe_fds[1], STDOUT_FILENO);
     cw_log_never_wait();
-    run();
-    for (int turns = 0; turns < LINES; turns++) {
-        fcntl(ends[0], F_SETFL, O_NONBLOCK);
-        length = read(ends[0], buffer, sizeof(buffer));
+    write_lines();
+    for (int reads = 0; reads < FLOOD_LINES; reads++) {
+        fcntl(pipe_fds[0], F_SETFL, O_NONBLOCK);
+        length = read(pipe_fds[0], buffer, sizeof(buffer));
         if (length > 0) {
             g_string_append_len(out, buffer, length);
         }
@@ -37,57 +38,58 @@
             break;
         }
     }
-    dup2(saved, STDOUT_FILENO);
-    close(saved);
-    close(ends[0]);
-    close(ends[1]);
+    dup2(saved_stdout, STDOUT_FILENO);
+    close(saved_stdout);
+    close(pipe_fds[0]);
+    close(pipe_fds[1]);
     return out;
 }
 
 static void
-write_one(void)
+log_one_line(void)
 {
     cw_log_info("submit", "id=%s text=%s", "a1", "two\nlines");
 }
 
 static void
-flood(void)
+log_flood(void)
 {
-    /* Nobody reads the pipe: it fills, then the ring, and nothing waits. */
-    for (int i = 0; i < LINES; i++) {
+    /* Nothing reads the pipe: first the pipe fills, then the ring, and no call
+     * blocks. */
+    for (int i = 0; i < FLOOD_LINES; i++) {
         cw_log_info("start", "id=%d text=%0200d", i, 0);
     }
 }
 
 static void
-test_an_event_is_one_line(void)
+test_event_is_one_line(void)
 {
     GString *out;
 
     cw_log_setup("info", "v1");
-    out = capture(write_one);
+    out = capture(log_one_line);
     CU_ASSERT_PTR_NOT_NULL(strstr(out->str, "level=info vm=v1 event=submit "
                                             "id=a1 text=two?lines\n"));
     g_string_free(out, TRUE);
 }
 
 static void
-test_a_reader_that_stops_costs_lines_and_no_time(void)
+test_stopped_reader_loses_lines_without_blocking(void)
 {
     GString *out;
 
     cw_log_setup("info", "v1");
-    out = capture(flood);
+    out = capture(log_flood);
     CU_ASSERT_EQUAL(cw_log_held_bytes(), 0);
-    CU_ASSERT_TRUE(out->len < LINES * 200);
+    CU_ASSERT_TRUE(out->len < FLOOD_LINES * 200);
     g_string_free(out, TRUE);
-    out = capture(write_one); /* the next line says what is missing */
+    out = capture(log_one_line); /* log_dropped comes before the next line */
     CU_ASSERT_PTR_NOT_NULL(strstr(out->str, "event=log_dropped lines="));
     g_string_free(out, TRUE);
 }
 
 static void
-test_a_histogram_counts_up_to_each_bound(void)
+test_histogram_buckets_are_cumulative(void)
 {
     struct cw_counters *counters = g_new0(struct cw_counters, 1);
     GString *out = g_string_new(NULL);
@@ -109,9 +111,9 @@
 }
 
 static const struct test tests[] = {
-    {"one line", test_an_event_is_one_line},
-    {"reader stops", test_a_reader_that_stops_costs_lines_and_no_time},
-    {"histogram", test_a_histogram_counts_up_to_each_bound},
+    {"one line", test_event_is_one_line},
+    {"stopped reader", test_stopped_reader_loses_lines_without_blocking},
+    {"histogram", test_histogram_buckets_are_cumulative},
 };
 
 TEST_MAIN("log", tests)
--- a/tests/test_story.c
+++ b/tests/test_story.c
@@ -1,4 +1,5 @@
-/* Causes told from log lines alone; the test alone knows them. */
+/* Analysis of logs: causes are derived from log lines alone.  Each test passes
+ * the lines of a known scenario and checks the cause that is reported. */
 #include "test_main.h"
 
 #include <string.h>
@@ -10,14 +11,14 @@
 static char *
 explain(const char *const *lines, const char *id)
 {
-    struct cw_story *story = cw_story_create();
+    struct cw_story *analysis = cw_story_create();
     GString *out = g_string_new(NULL);
 
     for (size_t i = 0; lines[i] != NULL; i++) {
-        cw_story_add(story, lines[i]);
+        cw_story_add(analysis, lines[i]);
     }
-    cw_story_explain(story, id, out);
-    cw_story_free(story);
+    cw_story_explain(analysis, id, out);
+    cw_story_free(analysis);
     return g_string_free(out, FALSE);
 }
 
@@ -31,7 +32,7 @@
 }
 
 static void
-test_refused_while_the_store_is_away(void)
+test_refused_while_store_is_unavailable(void)
 {
     static const char *const lines[] = {
         AT("0.000") "event=dependency_lost what=store status=refused",
@@ -59,7 +60,7 @@
 }
 
 static void
-test_failed_because_its_attempts_are_spent(void)
+test_failed_because_attempts_are_spent(void)
 {
     static const char *const lines[] = {
         AT("0.010") "event=submit id=a1 queue=q outcome=stored tries=1",
@@ -94,7 +95,7 @@
 }
 
 static void
-test_late_because_others_had_to_leave(void)
+test_late_because_other_runs_were_stopped_first(void)
 {
     static const char *const lines[] = {
         AT("0.010") "event=submit id=a1 queue=q outcome=stored tries=1",
@@ -106,7 +107,7 @@
 }
 
 static void
-test_lines_of_other_requests_stay_out(void)
+test_lines_of_other_requests_are_excluded(void)
 {
     static const char *const lines[] = {
         "   3.1 front-1 " AT("0.010") "event=submit id=a1 outcome=stored",
@@ -129,7 +130,7 @@
 static void
 check_end(const char *outcome, const char *reason, const char *expected)
 {
-    char *over = g_strdup_printf(
+    char *end_line = g_strdup_printf(
         AT("5.000") "event=job_over id=a1 outcome=%s reason=%s late_ms=-1",
         outcome, reason);
     const char *lines[] = {
@@ -137,14 +138,14 @@
         AT("0.020") "event=job_taken id=a1 queue=q",
         AT("4.900") "event=run_lost id=a1 task=0.0.0 run=1 worker=w7 "
                     "reason=lease_over",
-        over, NULL};
+        end_line, NULL};
 
     check_cause(lines, expected);
-    g_free(over);
+    g_free(end_line);
 }
 
 static void
-test_ends_of_our_own_interface_are_named(void)
+test_ends_of_project_interface_are_explained(void)
 {
     check_end("lost", "worker_lost", "worker w7");
     check_end("stopped", "stopped_by_configuration", "configuration");
@@ -152,13 +153,14 @@
 }
 
 static const struct test tests[] = {
-    {"own interface", test_ends_of_our_own_interface_are_named},
-    {"refused", test_refused_while_the_store_is_away},
+    {"project's own interface", test_ends_of_project_interface_are_explained},
+    {"refused", test_refused_while_store_is_unavailable},
     {"no owner", test_late_because_no_owner_took_it},
-    {"failed", test_failed_because_its_attempts_are_spent},
+    {"failed", test_failed_because_attempts_are_spent},
     {"workers crashed", test_failed_because_workers_crashed},
-    {"had to leave", test_late_because_others_had_to_leave},
-    {"other requests", test_lines_of_other_requests_stay_out},
+    {"other runs stopped first",
+     test_late_because_other_runs_were_stopped_first},
+    {"other requests", test_lines_of_other_requests_are_excluded},
 };
 
 TEST_MAIN("story", tests)
