--- a/emulator/judge.c
+++ b/emulator/checker.c
@@ -1,5 +1,5 @@
 /* Checks the guarantees; see the header. */
-#include "emulator/judge.h"
+#include "emulator/checker.h"
 
 #include <string.h>
 
--- a/emulator/internal/world_private.h
+++ b/emulator/internal/world_private.h
@@ -11,7 +11,7 @@
 #include "curlewcart/cw_store.h"
 #include "curlewcart/cw_target.h"
 #include "curlewcart/cw_time.h"
-#include "emulator/judge.h"
+#include "emulator/checker.h"
 #include "emulator/store_model.h"
 #include "emulator/worker_model.h"
 #include "emulator/world.h"
--- a/emulator/worker_model.c
+++ b/emulator/worker_model.c
@@ -129,7 +129,8 @@
 }
 
 void
-worker_fleet_set_day(struct worker_fleet *fleet, int64_t wall_clock_base_ms)
+worker_fleet_set_wall_clock(struct worker_fleet *fleet,
+                            int64_t wall_clock_base_ms)
 {
     fleet->wall_clock_base_ms = wall_clock_base_ms;
 }
@@ -164,8 +165,9 @@
 }
 
 struct worker_model *
-worker_fleet_revive(struct worker_fleet *fleet,
-                    const struct worker_model *before, int64_t clock_ms)
+worker_fleet_restart_with_new_id(struct worker_fleet *fleet,
+                                 const struct worker_model *before,
+                                 int64_t clock_ms)
 {
     char *id = g_strdup_printf("%s+", before->id);
     struct worker_model *worker =
@@ -314,7 +316,7 @@
 }
 
 bool
-worker_model_dead(const struct worker_model *worker)
+worker_model_is_down(const struct worker_model *worker)
 {
     return worker->is_down;
 }
--- a/emulator/worker_model.h
+++ b/emulator/worker_model.h
@@ -58,8 +58,8 @@
 void worker_fleet_free(struct worker_fleet *fleet);
 
 /* Sets the wall-clock time at the fleet's time 0; 0 unless set. */
-void
-worker_fleet_set_day(struct worker_fleet *fleet, int64_t wall_clock_base_ms);
+void worker_fleet_set_wall_clock(struct worker_fleet *fleet,
+                                 int64_t wall_clock_base_ms);
 
 /* From now on workers also start what exceeds their capacity. */
 void worker_fleet_ignore_capacity(struct worker_fleet *fleet);
@@ -73,8 +73,9 @@
 /* Adds the next incarnation of a worker that is down: a new id at the same
  * address.  Borrowed. */
 struct worker_model *
-worker_fleet_revive(struct worker_fleet *fleet,
-                    const struct worker_model *before, int64_t clock_ms);
+worker_fleet_restart_with_new_id(struct worker_fleet *fleet,
+                                 const struct worker_model *before,
+                                 int64_t clock_ms);
 
 /* Starts the next incarnation of a worker that is down, under the same id: it
  * has no memory of the one before, and numbers its ends from 1 again.
@@ -117,7 +118,7 @@
 
 /* Crashes it: its runs are lost, and it answers no more. */
 void worker_model_crash(struct worker_model *worker);
-bool worker_model_dead(const struct worker_model *worker);
+bool worker_model_is_down(const struct worker_model *worker);
 
 /* Sets how fast its runs work: 1 as planned, 0 not at all. */
 void worker_model_set_speed(struct worker_model *worker, double speed);
--- a/emulator/world.c
+++ b/emulator/world.c
@@ -104,7 +104,7 @@
                    worker_model_address(worker),
                    world_reported_boot_ms(world, worker));
         record.length = strlen(text);
-        if (worker_model_dead(worker)) {
+        if (worker_model_is_down(worker)) {
             record.value = NULL;
         }
         store_model_append(world->store, &append);
@@ -233,8 +233,8 @@
 static void
 restart_with_new_id(struct world *world, void *context)
 {
-    worker_fleet_revive(world->fleet, context,
-                        world_random_below(world, 100000) + 1);
+    worker_fleet_restart_with_new_id(world->fleet, context,
+                                     world_random_below(world, 100000) + 1);
 }
 
 static void
--- a/emulator/world.h
+++ b/emulator/world.h
@@ -8,7 +8,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "emulator/judge.h"
+#include "emulator/checker.h"
 
 struct world_options {
     uint32_t seed;
--- a/emulator/world_faults.c
+++ b/emulator/world_faults.c
@@ -215,7 +215,7 @@
     world_record_fault(world, "leave vm-%u", vm->index);
     world_disturb(world, 3000, 0);
     vm->leaving = true;
-    cw_entry_leave(vm->entry);
+    cw_entry_begin_shutdown(vm->entry);
     cw_owner_leave(vm->owner);
     world_schedule(world, 2600, finish_shutdown, vm);
 }
--- a/emulator/world_owner_kills.c
+++ b/emulator/world_owner_kills.c
@@ -81,7 +81,7 @@
     {
         struct worker_model *worker = world_random_worker(world);
 
-        if (!worker_model_dead(worker)) {
+        if (!worker_model_is_down(worker)) {
             world_replace_worker(world, worker);
         }
     }
--- a/emulator/world_restarts.c
+++ b/emulator/world_restarts.c
@@ -50,7 +50,7 @@
 {
     struct worker_model *worker = context;
 
-    if (!worker_model_dead(worker)) {
+    if (!worker_model_is_down(worker)) {
         crash_worker(world, worker, false);
     }
 }
@@ -101,7 +101,7 @@
     {
         struct worker_model *worker = world_random_worker(world);
 
-        if (!worker_model_dead(worker)) {
+        if (!worker_model_is_down(worker)) {
             crash_worker(world, worker, true);
         }
     }
--- a/emulator/world_vms.c
+++ b/emulator/world_vms.c
@@ -40,11 +40,12 @@
 
     if (vm->commands != NULL) {
         cw_follower_tick(vm->commands, now);
-        cw_time_earlier(&next, cw_follower_due(vm->commands));
+        cw_time_set_earlier(&next, cw_follower_due(vm->commands));
     }
     cw_follower_tick(cw_replica_follower(vm->replica), now);
-    cw_time_earlier(&next, cw_owner_tick(vm->owner, now));
-    cw_time_earlier(&next, cw_follower_due(cw_replica_follower(vm->replica)));
+    cw_time_set_earlier(&next, cw_owner_tick(vm->owner, now));
+    cw_time_set_earlier(&next,
+                        cw_follower_due(cw_replica_follower(vm->replica)));
     vm->takeovers += !active && cw_owner_active(vm->owner);
     vm->due_ms =
         MAX(vm->world->now_ms + 1, cw_time_diff_ms(cw_time_from_ms(0), next));
--- a/emulator/world_waits.c
+++ b/emulator/world_waits.c
@@ -36,8 +36,8 @@
     char dc[32];
 
     world_dc_of_rack(worker_model_rack(worker), dc, sizeof(dc));
-    return world_cordon_age_ms(world, dc) < 0 && !worker_model_dead(worker) &&
-           !world_worker_resets(world, id) &&
+    return world_cordon_age_ms(world, dc) < 0 &&
+           !worker_model_is_down(worker) && !world_worker_resets(world, id) &&
            !g_hash_table_contains(world->draining, id);
 }
 
--- a/include/curlewcart/cw_bundle.h
+++ b/include/curlewcart/cw_bundle.h
@@ -108,21 +108,21 @@
 
 /* Account of this name, or NULL.  Borrowed from the bundle. */
 const struct cw_account_def *
-cw_bundle_account(const struct cw_bundle *bundle, const char *name);
+cw_bundle_account_by_name(const struct cw_bundle *bundle, const char *name);
 
 /* True if the account's data may be in `dc`. */
 bool cw_bundle_account_permits_dc(const struct cw_account_def *account,
                                   const char *dc);
 
 /* Accelerators guaranteed to the account in `dc`. */
-unsigned
-cw_bundle_guarantee(const struct cw_account_def *account, const char *dc);
+unsigned cw_bundle_account_guarantee(const struct cw_account_def *account,
+                                     const char *dc);
 
 /* CW_OK if the job would fit if all workers were idle, in the data centres
  * that the job and its account permit; else the refusal that names what is
  * missing. */
-enum cw_result cw_bundle_fits(const struct cw_bundle *bundle,
-                              const struct cw_work_spec *spec);
+enum cw_result cw_bundle_check_fit(const struct cw_bundle *bundle,
+                                   const struct cw_work_spec *spec);
 
 /* Routing data that the scheduler needs from the bundle: accounts with their
  * data centres and guarantees, and one queue for jobs on the workers of
--- a/include/curlewcart/cw_chain.h
+++ b/include/curlewcart/cw_chain.h
@@ -40,7 +40,7 @@
 struct cw_bundle *cw_chain_current(const struct cw_chain *chain);
 
 /* Number of the version in force; 0 if there is none. */
-unsigned cw_chain_number(const struct cw_chain *chain);
+unsigned cw_chain_current_number(const struct cw_chain *chain);
 
 /* Applies the next record of the log.  Returns CW_OK if it is now in force,
  * CW_DROP_CONFLICT if another record with its number came first (or it is
--- a/include/curlewcart/cw_entry.h
+++ b/include/curlewcart/cw_entry.h
@@ -107,8 +107,8 @@
 
 /* Begins the shutdown of this VM: it is not ready any more, but completes
  * pending requests. */
-void cw_entry_leave(struct cw_entry *entry);
-bool cw_entry_is_leaving(const struct cw_entry *entry);
+void cw_entry_begin_shutdown(struct cw_entry *entry);
+bool cw_entry_is_shutting_down(const struct cw_entry *entry);
 
 /* Number of requests that are not answered yet. */
 unsigned cw_entry_pending(const struct cw_entry *entry);
--- a/include/curlewcart/cw_log.h
+++ b/include/curlewcart/cw_log.h
@@ -22,17 +22,17 @@
 /* Makes standard output non-blocking: if its reader stops reading, lines are
  * dropped and counted, and no thread waits.  For daemons only, because the
  * mode applies to every process that shares the open file. */
-void cw_log_never_wait(void);
+void cw_log_set_nonblocking(void);
 
 /* Writes buffered lines as far as standard output accepts them. */
 void cw_log_flush(void);
 
 /* Number of bytes that are buffered and not written yet. */
-uint64_t cw_log_held_bytes(void);
+uint64_t cw_log_buffered_bytes(void);
 
 /* True if lines of `level` are written.  Lets callers skip the preparation of
  * lines that are not. */
-bool cw_log_wants(GLogLevelFlags level);
+bool cw_log_is_enabled(GLogLevelFlags level);
 
 /* Logs an event: `event` is its name, `format` gives further key=value pairs
  * ("" for none).  The caller must quote values that contain spaces. */
--- a/include/curlewcart/cw_result.h
+++ b/include/curlewcart/cw_result.h
@@ -31,7 +31,7 @@
     X(REF_TOO_LARGE, 101, "too_large", "the request is too large")            \
     X(REF_ACCOUNT, 102, "unknown_account", "no such client account")          \
     X(REF_TOKEN, 103, "bad_token", "the token is not the account's")          \
-    X(REF_DIFFERS, 104, "id_reused", "the id was used for another request")   \
+    X(REF_ID_REUSED, 104, "id_reused", "the id was used for another request") \
     X(REF_GANG, 105, "gang_never_fits",                                       \
       "no permitted data centre has that many accelerators")                  \
     X(REF_WORKER, 106, "worker_never_fits",                                   \
--- a/include/curlewcart/cw_time.h
+++ b/include/curlewcart/cw_time.h
@@ -105,7 +105,7 @@
 
 /* Sets `due` to `other` if `other` is earlier. */
 static inline void
-cw_time_earlier(struct timespec *due, struct timespec other)
+cw_time_set_earlier(struct timespec *due, struct timespec other)
 {
     if (cw_time_before(other, *due)) {
         *due = other;
--- a/src/api/api.c
+++ b/src/api/api.c
@@ -88,7 +88,7 @@
         cw_follower_position(cw_replica_follower(api->options.replica));
 
     cw_follower_tick(api->bundles, now);
-    cw_time_earlier(&next, cw_follower_due(api->bundles));
+    cw_time_set_earlier(&next, cw_follower_due(api->bundles));
     if (api_waiters_count(api->waiters) == 0) {
         return next;
     }
@@ -99,7 +99,7 @@
         api->check_due = cw_time_add_ms(now, SWEEP_INTERVAL_MS);
         sweep_all(api, now, false);
     }
-    cw_time_earlier(&next, api->check_due);
+    cw_time_set_earlier(&next, api->check_due);
     return next;
 }
 
--- a/src/api/api_answer.c
+++ b/src/api/api_answer.c
@@ -31,7 +31,7 @@
     case CW_REF_ACCOUNT:
     case CW_REF_TOKEN:
         return 401;
-    case CW_REF_DIFFERS:
+    case CW_REF_ID_REUSED:
         return 409;
     case CW_REF_GANG:
     case CW_REF_WORKER:
--- a/src/api/api_bundle.c
+++ b/src/api/api_bundle.c
@@ -28,7 +28,7 @@
 apply_record(struct cw_api *api, const struct cw_bundle_rec *record,
              uint64_t offset)
 {
-    unsigned before = cw_chain_number(api->chain);
+    unsigned before = cw_chain_current_number(api->chain);
     GString *problems = g_string_new(NULL);
     enum cw_result result = cw_chain_apply(api->chain, record, problems);
     struct cw_routing *routing;
--- a/src/api/api_jobs.c
+++ b/src/api/api_jobs.c
@@ -83,7 +83,7 @@
         job->spec->body_hash != context->body_hash)
     {
         /* Another VM stored a job with this id first. */
-        refuse(context, CW_REF_DIFFERS);
+        refuse(context, CW_REF_ID_REUSED);
         return;
     }
     if (known && job->record != NULL && cw_work_is_over(job->recorded_phase)) {
@@ -111,7 +111,7 @@
         answer_or_wait(context);
         break;
     case CW_ENTRY_OTHER_JOB:
-        refuse(context, CW_REF_DIFFERS);
+        refuse(context, CW_REF_ID_REUSED);
         break;
     case CW_ENTRY_NOT_DONE:
         refuse(context, CW_REF_LOG_AWAY);
@@ -128,7 +128,7 @@
 {
     const struct cw_bundle *bundle = api_bundle(api);
     const struct cw_account_def *account =
-        cw_bundle_account(bundle, spec->account);
+        cw_bundle_account_by_name(bundle, spec->account);
     struct cw_policy_def policy = cw_bundle_policy(bundle);
 
     if (cw_replica_find_job(api->options.replica, spec->id) != NULL) {
@@ -148,7 +148,7 @@
     if (spec->max_attempts == 0) {
         spec->max_attempts = policy.max_attempts;
     }
-    return cw_bundle_fits(bundle, spec);
+    return cw_bundle_check_fit(bundle, spec);
 }
 
 void
--- a/src/api/api_ops.c
+++ b/src/api/api_ops.c
@@ -26,9 +26,9 @@
         json_pack("{s:s,s:s,s:b,s:b,s:b,s:i,s:I,s:i,s:i,s:o}", "vm",
                   api->options.vm, "dc", api->options.dc, "ready",
                   cw_entry_is_ready(entry), "leaving",
-                  cw_entry_is_leaving(entry), "deciding",
+                  cw_entry_is_shutting_down(entry), "deciding",
                   cw_owner_active(api->options.owner), "bundle",
-                  (int)cw_chain_number(api->chain), "requests",
+                  (int)cw_chain_current_number(api->chain), "requests",
                   (json_int_t)g_hash_table_size(
                       cw_replica_jobs(api->options.replica)),
                   "pending", (int)cw_entry_pending(entry), "waiting_calls",
@@ -61,9 +61,9 @@
 
     for (unsigned i = 0; i < account->dcs_count; i++) {
         json_array_append_new(
-            dcs,
-            json_pack("{s:s,s:i}", "dc", account->dcs[i], "guarantee",
-                      (int)cw_bundle_guarantee(account, account->dcs[i])));
+            dcs, json_pack("{s:s,s:i}", "dc", account->dcs[i], "guarantee",
+                           (int)cw_bundle_account_guarantee(account,
+                                                            account->dcs[i])));
     }
     return json_pack("{s:s,s:i,s:o}", "account", account->name, "weight",
                      (int)account->weight, "dcs", dcs);
--- a/src/api/api_routes.c
+++ b/src/api/api_routes.c
@@ -28,7 +28,7 @@
     if (bundle == NULL) {
         return CW_REF_NO_BUNDLE;
     }
-    def = account != NULL ? cw_bundle_account(bundle, account) : NULL;
+    def = account != NULL ? cw_bundle_account_by_name(bundle, account) : NULL;
     if (def == NULL) {
         return CW_REF_ACCOUNT;
     }
--- a/src/base/cw_log.c
+++ b/src/base/cw_log.c
@@ -230,12 +230,12 @@
 }
 
 void
-cw_log_never_wait(void)
+cw_log_set_nonblocking(void)
 {
     int flags = fcntl(STDOUT_FILENO, F_GETFL);
 
     if (flags < 0 || fcntl(STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK) != 0) {
-        cw_log_warning("log_may_wait", "reason=%s", g_strerror(errno));
+        cw_log_warning("log_may_block", "reason=%s", g_strerror(errno));
     }
 }
 
@@ -248,7 +248,7 @@
 }
 
 uint64_t
-cw_log_held_bytes(void)
+cw_log_buffered_bytes(void)
 {
     uint64_t used;
 
@@ -270,7 +270,7 @@
 }
 
 bool
-cw_log_wants(GLogLevelFlags level)
+cw_log_is_enabled(GLogLevelFlags level)
 {
     return level <= min_level;
 }
@@ -282,7 +282,7 @@
     int used;
     va_list arguments;
 
-    if (!cw_log_wants(level)) {
+    if (!cw_log_is_enabled(level)) {
         return;
     }
     used = snprintf(line, sizeof(line), "event=%s ", event);
--- a/src/bundle/bundle.c
+++ b/src/bundle/bundle.c
@@ -110,7 +110,7 @@
 }
 
 const struct cw_account_def *
-cw_bundle_account(const struct cw_bundle *bundle, const char *name)
+cw_bundle_account_by_name(const struct cw_bundle *bundle, const char *name)
 {
     return g_hash_table_lookup(bundle->accounts, name);
 }
@@ -128,7 +128,8 @@
 }
 
 unsigned
-cw_bundle_guarantee(const struct cw_account_def *account, const char *dc)
+cw_bundle_account_guarantee(const struct cw_account_def *account,
+                            const char *dc)
 {
     for (unsigned i = 0; i < account->guarantees_count; i++) {
         if (strcmp(account->guarantees[i].dc, dc) == 0) {
@@ -249,10 +250,11 @@
 }
 
 enum cw_result
-cw_bundle_fits(const struct cw_bundle *bundle, const struct cw_work_spec *spec)
+cw_bundle_check_fit(const struct cw_bundle *bundle,
+                    const struct cw_work_spec *spec)
 {
     const struct cw_account_def *account =
-        cw_bundle_account(bundle, spec->account);
+        cw_bundle_account_by_name(bundle, spec->account);
     enum cw_result result = CW_OK;
 
     if (account == NULL) {
--- a/src/bundle/bundle_diff.c
+++ b/src/bundle/bundle_diff.c
@@ -35,15 +35,15 @@
                 after->name, before->dcs[i]);
         }
         diff_number(out, "account", after->name, before->dcs[i],
-                    cw_bundle_guarantee(before, before->dcs[i]),
-                    cw_bundle_guarantee(after, before->dcs[i]));
+                    cw_bundle_account_guarantee(before, before->dcs[i]),
+                    cw_bundle_account_guarantee(after, before->dcs[i]));
     }
     for (unsigned i = 0; i < after->dcs_count; i++) {
         if (!cw_bundle_account_permits_dc(before, after->dcs[i])) {
             g_string_append_printf(out, "account %s: %s newly permitted\n",
                                    after->name, after->dcs[i]);
             diff_number(out, "account", after->name, after->dcs[i], 0,
-                        cw_bundle_guarantee(after, after->dcs[i]));
+                        cw_bundle_account_guarantee(after, after->dcs[i]));
         }
     }
 }
@@ -55,7 +55,7 @@
     for (unsigned i = 0; i < after->doc->accounts_count; i++) {
         const struct cw_account_def *new_def = &after->doc->accounts[i];
         const struct cw_account_def *old_def =
-            cw_bundle_account(before, new_def->name);
+            cw_bundle_account_by_name(before, new_def->name);
 
         if (old_def == NULL) {
             g_string_append_printf(out, "account %s: added\n", new_def->name);
@@ -72,7 +72,7 @@
     for (unsigned i = 0; i < before->doc->accounts_count; i++) {
         const char *name = before->doc->accounts[i].name;
 
-        if (cw_bundle_account(after, name) == NULL) {
+        if (cw_bundle_account_by_name(after, name) == NULL) {
             g_string_append_printf(out, "account %s: removed\n", name);
         }
     }
--- a/src/bundle/chain.c
+++ b/src/bundle/chain.c
@@ -68,7 +68,7 @@
 }
 
 unsigned
-cw_chain_number(const struct cw_chain *chain)
+cw_chain_current_number(const struct cw_chain *chain)
 {
     return chain->current != NULL ? chain->current->number : 0;
 }
@@ -225,7 +225,7 @@
     const unsigned char *hash =
         chain->current != NULL ? chain->current->hash : no_parent;
 
-    return record->parent == cw_chain_number(chain) &&
+    return record->parent == cw_chain_current_number(chain) &&
            record->number == record->parent + 1 &&
            memcmp(record->parent_hash, hash, CW_HASH_BYTES) == 0;
 }
@@ -252,7 +252,7 @@
         add_problem(problems, "unknown record format");
         return CW_DROP_BUNDLE;
     }
-    if (record->number <= cw_chain_number(chain)) {
+    if (record->number <= cw_chain_current_number(chain)) {
         return CW_DROP_CONFLICT;
     }
     if (!(follows_current(chain, record) &&
--- a/src/cli/cli_logs.c
+++ b/src/cli/cli_logs.c
@@ -4,11 +4,11 @@
 #include <string.h>
 
 #include "cli/internal/cli_private.h"
-#include "curlewcart/cw_story.h"
+#include "curlewcart/cw_log_analysis.h"
 
 /* Adds the lines of a file; "-" is standard input. */
 static bool
-read_file(struct cw_story *analysis, const char *path)
+read_file(struct cw_log_analysis *analysis, const char *path)
 {
     FILE *file = strcmp(path, "-") == 0 ? stdin : fopen(path, "r");
     char *line = NULL;
@@ -19,7 +19,7 @@
         return false;
     }
     while (getline(&line, &size, file) > 0) {
-        cw_story_add(analysis, line);
+        cw_log_analysis_add_line(analysis, line);
     }
     free(line);
     if (file != stdin) {
@@ -28,14 +28,14 @@
     return true;
 }
 
-static struct cw_story *
+static struct cw_log_analysis *
 read_files(struct cli *cli, unsigned first_file)
 {
-    struct cw_story *analysis = cw_story_create();
+    struct cw_log_analysis *analysis = cw_log_analysis_create();
 
     for (unsigned i = first_file; i < cli->args_count; i++) {
         if (!read_file(analysis, cli->args[i])) {
-            cw_story_free(analysis);
+            cw_log_analysis_free(analysis);
             return NULL;
         }
     }
@@ -45,7 +45,7 @@
 int
 cli_logs_explain(struct cli *cli)
 {
-    struct cw_story *analysis = read_files(cli, 1);
+    struct cw_log_analysis *analysis = read_files(cli, 1);
     GString *out = g_string_new(NULL);
     int status = EXIT_OK;
 
@@ -53,13 +53,13 @@
         status = EXIT_INVALID;
         goto done;
     }
-    if (cw_story_explain(analysis, cli->args[0], out) == 0) {
+    if (cw_log_analysis_explain(analysis, cli->args[0], out) == 0) {
         fprintf(stderr, "curlewcart: %s occurs in none of %zu lines\n",
-                cli->args[0], cw_story_lines(analysis));
+                cli->args[0], cw_log_analysis_line_count(analysis));
         status = EXIT_REFUSED;
     }
     fputs(out->str, stdout);
-    cw_story_free(analysis);
+    cw_log_analysis_free(analysis);
 
 done:
     g_string_free(out, TRUE);
@@ -69,14 +69,14 @@
 int
 cli_logs_timeline(struct cli *cli)
 {
-    struct cw_story *analysis = read_files(cli, 0);
+    struct cw_log_analysis *analysis = read_files(cli, 0);
     GString *out = g_string_new(NULL);
     int status = analysis != NULL ? EXIT_OK : EXIT_INVALID;
 
     if (analysis != NULL) {
-        cw_story_timeline(analysis, out);
+        cw_log_analysis_timeline(analysis, out);
         fputs(out->str, stdout);
-        cw_story_free(analysis);
+        cw_log_analysis_free(analysis);
     }
     g_string_free(out, TRUE);
     return status;
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -567,7 +567,7 @@
             g_ptr_array_remove_index_fast(entry->queries, i - 1);
         }
         else {
-            cw_time_earlier(next, deadline);
+            cw_time_set_earlier(next, deadline);
         }
     }
 }
@@ -598,13 +598,13 @@
 }
 
 void
-cw_entry_leave(struct cw_entry *entry)
+cw_entry_begin_shutdown(struct cw_entry *entry)
 {
     entry->shutting_down = true;
 }
 
 bool
-cw_entry_is_leaving(const struct cw_entry *entry)
+cw_entry_is_shutting_down(const struct cw_entry *entry)
 {
     return entry->shutting_down;
 }
@@ -635,11 +635,11 @@
                 give_up(change);
             }
             else {
-                cw_time_earlier(&next, change->deadline);
+                cw_time_set_earlier(&next, change->deadline);
             }
         }
         else if (change->stored) {
-            cw_time_earlier(&next, cw_time_add_ms(now, RETRY_MIN_MS));
+            cw_time_set_earlier(&next, cw_time_add_ms(now, RETRY_MIN_MS));
             if (!cw_time_before(now, change->deadline)) {
                 /* The cancellation is stored, but the replica has not read
                  * whether it takes effect. */
@@ -654,14 +654,14 @@
             give_up(change);
         }
         else if (change->awaits_read) {
-            cw_time_earlier(&next, cw_time_add_ms(now, RETRY_MIN_MS));
+            cw_time_set_earlier(&next, cw_time_add_ms(now, RETRY_MIN_MS));
             recheck_cancel(change, now);
         }
         else if (!cw_time_before(now, change->due)) {
             send_change(change, now);
         }
         else {
-            cw_time_earlier(&next, change->due);
+            cw_time_set_earlier(&next, change->due);
         }
     }
     return next;
--- a/src/story/story.c
+++ b/src/log_analysis/log_analysis.c
@@ -1,5 +1,5 @@
 /* Analysis of log lines: the history of a request and of the whole system. */
-#include "curlewcart/cw_story.h"
+#include "curlewcart/cw_log_analysis.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -23,7 +23,7 @@
     guint order;        /* as added; sorts lines with equal timestamps */
 };
 
-struct cw_story {
+struct cw_log_analysis {
     GPtrArray *lines; /* struct line */
 };
 
@@ -40,24 +40,24 @@
     g_free(line);
 }
 
-struct cw_story *
-cw_story_create(void)
+struct cw_log_analysis *
+cw_log_analysis_create(void)
 {
-    struct cw_story *analysis = g_new0(struct cw_story, 1);
+    struct cw_log_analysis *analysis = g_new0(struct cw_log_analysis, 1);
 
     analysis->lines = g_ptr_array_new_with_free_func(line_free);
     return analysis;
 }
 
 void
-cw_story_free(struct cw_story *analysis)
+cw_log_analysis_free(struct cw_log_analysis *analysis)
 {
     g_ptr_array_unref(analysis->lines);
     g_free(analysis);
 }
 
 size_t
-cw_story_lines(const struct cw_story *analysis)
+cw_log_analysis_line_count(const struct cw_log_analysis *analysis)
 {
     return analysis->lines->len;
 }
@@ -120,7 +120,7 @@
 }
 
 void
-cw_story_add(struct cw_story *analysis, const char *text)
+cw_log_analysis_add_line(struct cw_log_analysis *analysis, const char *text)
 {
     const char *timestamp_field = strstr(text, "ts=");
     const char *event = strstr(text, " event=");
@@ -418,7 +418,8 @@
 }
 
 size_t
-cw_story_explain(struct cw_story *analysis, const char *id, GString *out)
+cw_log_analysis_explain(struct cw_log_analysis *analysis, const char *id,
+                        GString *out)
 {
     struct request request = {0};
     const struct line *last = NULL;
@@ -454,7 +455,7 @@
 /* ---- the whole system ---- */
 
 void
-cw_story_timeline(struct cw_story *analysis, GString *out)
+cw_log_analysis_timeline(struct cw_log_analysis *analysis, GString *out)
 {
     int64_t from_ms = 0;
     unsigned refused = 0;
--- a/src/owner/owner.c
+++ b/src/owner/owner.c
@@ -480,9 +480,9 @@
     struct timespec next = owner->check_due;
 
     owner_drain_tick(owner, target, now);
-    cw_time_earlier(&next, owner_orders_send(owner, target, now));
-    cw_time_earlier(&next, owner_poll_tick(owner, target, now));
-    cw_time_earlier(&next, owner_lease_note_tick(owner, target, now));
+    cw_time_set_earlier(&next, owner_orders_send(owner, target, now));
+    cw_time_set_earlier(&next, owner_poll_tick(owner, target, now));
+    cw_time_set_earlier(&next, owner_lease_note_tick(owner, target, now));
     return next;
 }
 
@@ -559,21 +559,21 @@
         return now;
     }
     cw_follower_tick(owner->reports, now);
-    cw_time_earlier(&next, cw_follower_due(owner->reports));
+    cw_time_set_earlier(&next, cw_follower_due(owner->reports));
     tick_jobs(owner, now);
     if (owner->placement_wanted && owner_may_order(owner, now)) {
         if (!cw_time_before(now, owner->placement_due)) {
             place(owner, now);
         }
         else {
-            cw_time_earlier(&next, owner->placement_due);
+            cw_time_set_earlier(&next, owner->placement_due);
         }
     }
-    cw_time_earlier(&next, owner_commit_tick(owner, now));
+    cw_time_set_earlier(&next, owner_commit_tick(owner, now));
     if (owner->state != OWNER_ACTIVE) {
         return now;
     }
-    cw_time_earlier(&next, tick_targets(owner, now));
+    cw_time_set_earlier(&next, tick_targets(owner, now));
     if (!cw_time_before(now, owner->sweep_due)) {
         owner->sweep_due = cw_time_add_ms(now, SWEEP_INTERVAL_MS);
         owner_drop_old_records(owner);
@@ -616,13 +616,13 @@
     struct timespec next;
 
     next = owner_group_tick(owner, now);
-    cw_time_earlier(&next, owner_hints_tick(owner, now));
-    cw_time_earlier(&next, owner_epochs_tick(owner, now));
+    cw_time_set_earlier(&next, owner_hints_tick(owner, now));
+    cw_time_set_earlier(&next, owner_epochs_tick(owner, now));
     if (owner->state != OWNER_IDLE && owner->state != OWNER_ACTIVE) {
-        cw_time_earlier(&next, tick_takeover(owner, now));
+        cw_time_set_earlier(&next, tick_takeover(owner, now));
     }
     if (owner->state == OWNER_ACTIVE) {
-        cw_time_earlier(&next, tick_active(owner, now));
+        cw_time_set_earlier(&next, tick_active(owner, now));
     }
     return next;
 }
--- a/src/owner/owner_commit.c
+++ b/src/owner/owner_commit.c
@@ -325,7 +325,7 @@
 {
     struct timespec next = write_states(owner, now);
 
-    cw_time_earlier(&next, write_outcomes(owner, now));
+    cw_time_set_earlier(&next, write_outcomes(owner, now));
     return next;
 }
 
--- a/src/owner/owner_cordons.c
+++ b/src/owner/owner_cordons.c
@@ -50,7 +50,7 @@
                     staleness_ms);
         cw_cordons_read_now(options->cordons);
     }
-    cw_time_earlier(next, owner->cordons_read_due);
+    cw_time_set_earlier(next, owner->cordons_read_due);
     return false;
 }
 
--- a/src/owner/owner_epochs.c
+++ b/src/owner/owner_epochs.c
@@ -247,7 +247,7 @@
     if (strcmp(vm, owner->vm) == 0 || epochs->settled_sent) {
         return;
     }
-    cw_time_earlier(&epochs->settle_due, end_of_earlier(owner, NULL));
+    cw_time_set_earlier(&epochs->settle_due, end_of_earlier(owner, NULL));
     g_hash_table_iter_init(&iterator, owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct owner_target *target = value;
--- a/src/owner/owner_group.c
+++ b/src/owner/owner_group.c
@@ -177,7 +177,7 @@
     if (owner->candidacy.is_candidate) {
         send_join(owner, now);
         if (!owner->join_in_flight) {
-            cw_time_earlier(&next, owner->join_due);
+            cw_time_set_earlier(&next, owner->join_due);
         }
     }
     else if (owner->joined) {
--- a/src/owner/owner_orders.c
+++ b/src/owner/owner_orders.c
@@ -131,7 +131,7 @@
     run->unanswered++;
     cw_count_code(owner->options.counters, CW_RETRY_SILENT);
     avoid(order->target, AVOID_UNANSWERED_MS);
-    cw_time_earlier(&order->target->poll_due, owner_now(owner));
+    cw_time_set_earlier(&order->target->poll_due, owner_now(owner));
     if (run->unanswered < STARTS_UNANSWERED_MAX && !run->stopping) {
         owner_order_queue(owner, order->target, CW_ORDER_START, &order->task,
                           order->run);
@@ -377,14 +377,14 @@
     }
     if (!owner_lease_clock_is_fresh(target, now) &&
         target->unanswered_polls == 0) {
-        cw_time_earlier(&target->poll_due, now);
+        cw_time_set_earlier(&target->poll_due, now);
         return true;
     }
     if (run->phase != RUN_STARTING) {
         return false;
     }
     if (cw_time_before(now, order->due)) {
-        cw_time_earlier(next, order->due);
+        cw_time_set_earlier(next, order->due);
         return true;
     }
     return target->unanswered_polls > 0 ||
@@ -432,7 +432,7 @@
         run->boot_ms = target->incarnation.boot_ms;
         run->sent_at = now;
         cw_count_add(owner->options.counters, CW_COUNT_STARTS, 1);
-        cw_time_earlier(&target->poll_due, now);
+        cw_time_set_earlier(&target->poll_due, now);
     }
     target->orders_in_flight++;
     order->sent = now;
@@ -455,7 +455,7 @@
             continue;
         }
         if (cw_time_before(now, run->stop_due)) {
-            cw_time_earlier(&next, run->stop_due);
+            cw_time_set_earlier(&next, run->stop_due);
         }
         else {
             owner_run_stop(owner, run);
@@ -502,7 +502,7 @@
     unsigned in_flight_max = orders_in_flight_max(owner);
     GQueue waiting = G_QUEUE_INIT;
 
-    cw_time_earlier(&next, tombstone);
+    cw_time_set_earlier(&next, tombstone);
     while (target->orders_in_flight < in_flight_max &&
            !g_queue_is_empty(&target->orders) && owner_may_order(owner, now))
     {
--- a/src/owner/owner_polls.c
+++ b/src/owner/owner_polls.c
@@ -717,7 +717,7 @@
     if (!cw_time_before(target->lease_end, now) &&
         owner_target_has_ordered_run(target))
     {
-        cw_time_earlier(&next, cw_time_add_ms(target->lease_end, 1));
+        cw_time_set_earlier(&next, cw_time_add_ms(target->lease_end, 1));
     }
     return next;
 }
--- a/src/owner/owner_tombstones.c
+++ b/src/owner/owner_tombstones.c
@@ -130,7 +130,7 @@
                               &tombstone->task, tombstone->run);
         }
         else if (is_responsive && !tombstone->queued) {
-            cw_time_earlier(&next, tombstone->due);
+            cw_time_set_earlier(&next, tombstone->due);
         }
         i++;
     }
--- a/src/relay/relay.c
+++ b/src/relay/relay.c
@@ -563,14 +563,14 @@
     relay_check_isolation(relay, now);
     if (relay->store_suspect) {
         divert_reads(relay);
-        cw_time_earlier(&next, relay->ping_due);
+        cw_time_set_earlier(&next, relay->ping_due);
     }
     if (!relay_rpc_has_key(relay->rpc) && !relay->key_request_in_flight) {
         if (!cw_time_before(now, relay->key_due)) {
             relay_request_key(relay);
         }
         else {
-            cw_time_earlier(&next, relay->key_due);
+            cw_time_set_earlier(&next, relay->key_due);
         }
     }
     if (!relay->members_request_in_flight) {
@@ -578,7 +578,7 @@
             relay_request_members(relay);
         }
         else {
-            cw_time_earlier(&next, relay->members_due);
+            cw_time_set_earlier(&next, relay->members_due);
         }
     }
     return next;
--- a/src/relay/relay_rpc.c
+++ b/src/relay/relay_rpc.c
@@ -349,7 +349,7 @@
             g_ptr_array_add(expired, call);
         }
         else {
-            cw_time_earlier(&next, call->deadline);
+            cw_time_set_earlier(&next, call->deadline);
         }
     }
     for (guint i = 0; i < expired->len; i++) {
--- a/src/replica/load_gate.c
+++ b/src/replica/load_gate.c
@@ -63,8 +63,8 @@
 
         gate->config_arrived = true;
         gate->due = cw_time_add_ms(now, wait_ms(gate, took_ms));
-        cw_time_earlier(&gate->due,
-                        cw_time_add_ms(gate->started_at, DELAY_MAX_MS));
+        cw_time_set_earlier(&gate->due,
+                            cw_time_add_ms(gate->started_at, DELAY_MAX_MS));
     }
     gate->open = gate->open || !cw_time_before(now, gate->due);
     return gate->open;
--- a/src/vm/vm.c
+++ b/src/vm/vm.c
@@ -101,8 +101,8 @@
     if (strcmp(record->key, codec->routing_key) != 0 &&
         codec->cordoned_dc(record->key) == NULL)
     {
-        cw_log_warning("order_unserved", "key=%s offset=%" PRIu64, record->key,
-                       record->offset);
+        cw_log_warning("operator_command_unknown", "key=%s offset=%" PRIu64,
+                       record->key, record->offset);
     }
 }
 
@@ -172,16 +172,16 @@
         now = cw_clock_now(vm->clock);
         next = tick_jobs_follower(vm, now);
         if (vm->api != NULL) {
-            cw_time_earlier(&next, cw_api_tick(vm->api, now));
+            cw_time_set_earlier(&next, cw_api_tick(vm->api, now));
         }
         else {
             cw_follower_tick(vm->routing, now);
-            cw_time_earlier(&next, cw_follower_due(vm->routing));
+            cw_time_set_earlier(&next, cw_follower_due(vm->routing));
         }
         cw_entry_set_isolated(vm->entry, cw_relay_is_isolated(vm->relay));
-        cw_time_earlier(&next, cw_entry_tick(vm->entry, now));
-        cw_time_earlier(&next, cw_owner_tick(vm->owner, now));
-        cw_time_earlier(&next, cw_relay_tick(vm->relay, now));
+        cw_time_set_earlier(&next, cw_entry_tick(vm->entry, now));
+        cw_time_set_earlier(&next, cw_owner_tick(vm->owner, now));
+        cw_time_set_earlier(&next, cw_relay_tick(vm->relay, now));
         /* Rounded up: a wake-up before `next` would find nothing due. */
         wait_ms = cw_time_diff_ms(cw_clock_now(vm->clock), next) + 1;
     }
@@ -447,7 +447,7 @@
         (int64_t)vm->settings->bounds.grace_s * CW_MS_PER_S - LEAVE_RESERVE_MS;
 
     pthread_mutex_lock(&vm->engine_lock);
-    cw_entry_leave(vm->entry);
+    cw_entry_begin_shutdown(vm->entry);
     cw_owner_leave(vm->owner);
     pthread_mutex_unlock(&vm->engine_lock);
     cw_http_client_wake(vm->client);
@@ -477,7 +477,7 @@
     for (unsigned i = 0; i < settings->contracts_count; i++) {
         if (!platform_supports_contract(settings->contracts[i])) {
             unsupported++;
-            cw_log_warning("contract_unserved", "name=%s",
+            cw_log_warning("contract_unsupported", "name=%s",
                            settings->contracts[i]);
         }
     }
@@ -530,7 +530,7 @@
     int received;
 
     cw_log_setup(level != NULL ? level : "info", settings->vm);
-    cw_log_never_wait();
+    cw_log_set_nonblocking();
     sigemptyset(&signals);
     sigaddset(&signals, SIGTERM);
     sigaddset(&signals, SIGINT);
--- a/src/vm/vm_listen.c
+++ b/src/vm/vm_listen.c
@@ -70,7 +70,7 @@
                            stats.jobs, stats.runs, stats.targets,
                            stats.waiting, stats.longest_wait_ms,
                            stats.repeating, cordons, contracts, waiting,
-                           cw_log_held_bytes());
+                           cw_log_buffered_bytes());
     cw_http_answer(call, 200, "text/plain; version=0.0.4", out->str, out->len,
                    false);
     g_string_free(out, TRUE);
--- a/standins/platform_standin.c
+++ b/standins/platform_standin.c
@@ -101,7 +101,7 @@
         worker_fleet_find(platform->fleet, worker->id);
     const struct worker_model *after;
 
-    if (!worker_model_dead(before)) {
+    if (!worker_model_is_down(before)) {
         return true;
     }
     if (standin_now_ms() - worker->crashed_at_ms < worker->downtime_ms) {
@@ -112,7 +112,7 @@
         printf("restarted worker=%s\n", worker->id);
         return true;
     }
-    after = worker_fleet_revive(platform->fleet, before, 0);
+    after = worker_fleet_restart_with_new_id(platform->fleet, before, 0);
     append_record(platform, "keyed.servers", worker->id, NULL);
     printf("revived worker=%s as=%s\n", worker->id, worker_model_id(after));
     g_free(worker->id);
@@ -167,7 +167,7 @@
         struct worker_model *model =
             worker_fleet_find(platform->fleet, worker->id);
 
-        if (!worker_model_dead(model)) {
+        if (!worker_model_is_down(model)) {
             worker_model_crash(model);
             worker->crashed_at_ms = standin_now_ms();
             worker->downtime_ms =
@@ -187,7 +187,7 @@
         struct worker_model *model =
             worker_fleet_find(platform->fleet, worker->id);
 
-        if (strcmp(worker->id, id) == 0 && !worker_model_dead(model)) {
+        if (strcmp(worker->id, id) == 0 && !worker_model_is_down(model)) {
             worker_model_crash(model);
             worker->downtime_ms = INT64_MAX;
             printf("lost worker=%s at_ms=%" PRId64 "\n", id,
@@ -448,8 +448,9 @@
         return 2;
     }
     worker_fleet_advance(platform.fleet, standin_fleet_now_ms());
-    worker_fleet_set_day(platform.fleet, cw_clock_wall_ms(cw_clock_system()) -
-                                             standin_now_ms());
+    worker_fleet_set_wall_clock(platform.fleet,
+                                cw_clock_wall_ms(cw_clock_system()) -
+                                    standin_now_ms());
     start_workers(&platform);
     if (platform.proxy_path != NULL && !use_proxy_addresses(&platform)) {
         return 2;
--- a/standins/platform_workers.c
+++ b/standins/platform_workers.c
@@ -187,7 +187,7 @@
         worker = worker_fleet_find(platform->fleet, deferred_call->worker->id);
         /* Orders that wait in a worker, or on a connection to it, are lost
          * when its incarnation ends. */
-        if (!worker_model_dead(worker) &&
+        if (!worker_model_is_down(worker) &&
             deferred_call->boot_ms == worker_model_boot_ms(worker))
         {
             worker_model_order(worker, &order, standin_fleet_now_ms(), &answer,
@@ -225,7 +225,7 @@
 
     pthread_mutex_lock(&server->platform->lock);
     worker = worker_fleet_find(server->platform->fleet, server->id);
-    boot_ms = worker_model_dead(worker) ? 0 : worker_model_boot_ms(worker);
+    boot_ms = worker_model_is_down(worker) ? 0 : worker_model_boot_ms(worker);
     pthread_mutex_unlock(&server->platform->lock);
     return boot_ms;
 }
--- a/tests/test_bundle.c
+++ b/tests/test_bundle.c
@@ -40,7 +40,8 @@
 
     CU_ASSERT_PTR_NOT_NULL_FATAL(bundle);
     CU_ASSERT_EQUAL(problems->len, 0);
-    CU_ASSERT_EQUAL(cw_bundle_guarantee(cw_bundle_account(bundle, "a"), "d0"),
+    CU_ASSERT_EQUAL(cw_bundle_account_guarantee(
+                        cw_bundle_account_by_name(bundle, "a"), "d0"),
                     8);
     cw_bundle_unref(bundle);
     g_string_free(problems, TRUE);
@@ -120,7 +121,7 @@
         .dcs = {.dcs_len = dc != NULL, .dcs_val = &name},
     };
 
-    return cw_bundle_fits(bundle, &spec);
+    return cw_bundle_check_fit(bundle, &spec);
 }
 
 static void
--- a/tests/test_chain.c
+++ b/tests/test_chain.c
@@ -87,7 +87,7 @@
     setup(&f);
     accept_change(&f, 1, 1);
     accept_change(&f, 2, 1);
-    CU_ASSERT_EQUAL(cw_chain_number(f.chain), 2);
+    CU_ASSERT_EQUAL(cw_chain_current_number(f.chain), 2);
     cw_chain_free(f.chain);
 }
 
@@ -107,7 +107,7 @@
     cw_chain_sign(&record, "op", f.secret[0]);
     record.number = 2; /* differs from the signed number */
     CU_ASSERT_EQUAL(apply_and_free(&f, &record), CW_DROP_BUNDLE);
-    CU_ASSERT_EQUAL(cw_chain_number(f.chain), 0);
+    CU_ASSERT_EQUAL(cw_chain_current_number(f.chain), 0);
     cw_chain_free(f.chain);
 }
 
@@ -142,7 +142,7 @@
     CU_ASSERT_EQUAL(cw_chain_apply(f.chain, &record, NULL), CW_OK);
     accept_change(&f, 2, 1);
     CU_ASSERT_EQUAL(cw_chain_apply(f.chain, &record, NULL), CW_DROP_CONFLICT);
-    CU_ASSERT_EQUAL(cw_chain_number(f.chain), 2);
+    CU_ASSERT_EQUAL(cw_chain_current_number(f.chain), 2);
     xdr_free((xdrproc_t)xdr_cw_bundle_rec, &record);
     cw_chain_free(f.chain);
 }
@@ -179,7 +179,7 @@
     CU_ASSERT_TRUE(cw_chain_export(f.chain, &record));
     empty_chain = new_chain(&f);
     CU_ASSERT_EQUAL(cw_chain_apply(empty_chain, &record, NULL), CW_OK);
-    CU_ASSERT_EQUAL(cw_chain_number(empty_chain), 2);
+    CU_ASSERT_EQUAL(cw_chain_current_number(empty_chain), 2);
     cw_chain_free(empty_chain);
     empty_chain = new_chain(&f);
     record.seal[0] ^= 1;
--- a/tests/test_log.c
+++ b/tests/test_log.c
@@ -25,7 +25,7 @@
     CU_ASSERT_EQUAL_FATAL(pipe(pipe_fds), 0);
     fflush(stdout);
     dup2(pipe_fds[1], STDOUT_FILENO);
-    cw_log_never_wait();
+    cw_log_set_nonblocking();
     write_lines();
     for (int reads = 0; reads < FLOOD_LINES; reads++) {
         fcntl(pipe_fds[0], F_SETFL, O_NONBLOCK);
@@ -34,7 +34,7 @@
             g_string_append_len(out, buffer, length);
         }
         cw_log_flush();
-        if (length <= 0 && cw_log_held_bytes() == 0) {
+        if (length <= 0 && cw_log_buffered_bytes() == 0) {
             break;
         }
     }
@@ -80,7 +80,7 @@
 
     cw_log_setup("info", "v1");
     out = capture(log_flood);
-    CU_ASSERT_EQUAL(cw_log_held_bytes(), 0);
+    CU_ASSERT_EQUAL(cw_log_buffered_bytes(), 0);
     CU_ASSERT_TRUE(out->len < FLOOD_LINES * 200);
     g_string_free(out, TRUE);
     out = capture(log_one_line); /* log_dropped comes before the next line */
--- a/tests/test_story.c
+++ b/tests/test_log_analysis.c
@@ -4,21 +4,21 @@
 
 #include <string.h>
 
-#include "curlewcart/cw_story.h"
+#include "curlewcart/cw_log_analysis.h"
 
 #define AT(ms) "ts=2026-12-02T10:00:0" ms "Z level=info vm=v1 "
 
 static char *
 explain(const char *const *lines, const char *id)
 {
-    struct cw_story *analysis = cw_story_create();
+    struct cw_log_analysis *analysis = cw_log_analysis_create();
     GString *out = g_string_new(NULL);
 
     for (size_t i = 0; lines[i] != NULL; i++) {
-        cw_story_add(analysis, lines[i]);
+        cw_log_analysis_add_line(analysis, lines[i]);
     }
-    cw_story_explain(analysis, id, out);
-    cw_story_free(analysis);
+    cw_log_analysis_explain(analysis, id, out);
+    cw_log_analysis_free(analysis);
     return g_string_free(out, FALSE);
 }
 
