--- a/include/curlewcart/cw_headroom.h
+++ b/include/curlewcart/cw_headroom.h
@@ -18,7 +18,7 @@
 /* Begins with no headroom. */
 void cw_headroom_init(struct cw_headroom *headroom, struct timespec now);
 
-/* Adds an urgent job that was accepted and requests so many accelerators. */
+/* Adds an accepted urgent job that requests this many accelerators. */
 void cw_headroom_arrived(struct cw_headroom *headroom, double accelerators);
 
 /* Records that `used` accelerators are in use by urgent work now. */
@@ -29,9 +29,9 @@
  * arrival, will request before other runs can be stopped. */
 double cw_headroom_expected_arrivals(const struct cw_headroom *headroom);
 
-/* Returns the number of accelerators to withhold from lower-priority work:
- * what urgent work used lately, and what may arrive before other runs can be
- * stopped. */
+/* Returns the number of accelerators to withhold from lower-priority work: the
+ * number that urgent work has used recently, and the number that it may
+ * request before other runs can be stopped. */
 double cw_headroom_reserved(const struct cw_headroom *headroom);
 
 #endif
--- a/include/curlewcart/cw_idle.h
+++ b/include/curlewcart/cw_idle.h
@@ -1,10 +1,10 @@
-/* Idle jobs: decides whether free capacity may still be withheld from one.
+/* Idle jobs: decides whether free capacity may still be withheld from a job.
  *
  * Capacity is withheld from jobs for several reasons: headroom for urgent
  * work, racks that are reserved for gangs, workers that failed or were slow.
  * In a busy service each reason may apply for as long as the service is busy,
  * so that separate limits on the reasons don't limit how long a job is idle.
- * This module has the one limit over all of them.
+ * This module has a single limit for all reasons together.
  *
  * Pure: no I/O and no clock of its own.  Callers pass in their observations
  * and the time. */
@@ -21,8 +21,8 @@
     struct timespec free_since; /* each check since then has found free
                                    capacity for the job; 0: the last check
                                    found none */
-    struct timespec
-        available_since;          /* the same, without regard to short gaps */
+    /* Like free_since, but short gaps are ignored. */
+    struct timespec available_since;
     struct timespec last_free_at; /* last check that found free capacity */
 };
 
--- a/include/curlewcart/cw_owner.h
+++ b/include/curlewcart/cw_owner.h
@@ -38,26 +38,26 @@
     const char *vm;         /* name of this VM; copied */
     const char *member;     /* group member id of this process; copied */
     unsigned partition;     /* the shard */
-    unsigned member_ttl_ms; /* the store drops a member that has not joined
-                               again for so long */
-    unsigned lease_ms;      /* longest lease that workers grant */
+    unsigned member_ttl_ms; /* the store drops a member that has not repeated
+                               its join for this long */
+    unsigned lease_ms;      /* longest lease that workers accept */
     unsigned standby_read_interval_ms; /* between reads of the log of jobs
                                  while another VM is the owner; 0:
                                  CW_STANDBY_READ_INTERVAL_MS */
-    unsigned retain_ms;         /* ended jobs are kept at least so long */
+    unsigned retain_ms; /* minimum time for which ended jobs are retained */
     unsigned capacity_milli;    /* this VM's processor, thousandths of a core;
                                    0: unknown, taken as one core */
     bool exposes_placements;    /* callers may query where their jobs ran */
-    unsigned connections_max;   /* open connections at most; 0: no limit */
+    unsigned connections_max;   /* limit on open connections; 0: none */
     unsigned report_ms;         /* interval of workers' reports; 0: 1.5 s */
     struct cw_cordons *cordons; /* operator commands; NULL: none */
-    unsigned cordon_ms; /* no run is started in a data centre later than so
-                           long after its cordon; 0: no limit */
+    unsigned cordon_ms; /* limit on the time from a data centre's cordon to the
+                           last start of a run there; 0: no limit */
 };
 
 struct cw_owner;
 
-/* An owner without a shard; it joins the group on its first ticks. */
+/* Creates an owner without a shard; it joins the group in its first ticks. */
 struct cw_owner *cw_owner_create(const struct cw_owner_options *options);
 void cw_owner_free(struct cw_owner *owner);
 
@@ -67,23 +67,23 @@
 /* To be called when a data centre was cordoned or uncordoned. */
 void cw_owner_cordons_changed(struct cw_owner *owner);
 
-/* Gives up the shard for good and leaves the group. */
+/* Yields the shard permanently and leaves the group. */
 void cw_owner_leave(struct cw_owner *owner);
 
-/* Does what is due; returns when it is to be called next. */
+/* Does the work that is due; returns when it has to be called next. */
 struct timespec cw_owner_tick(struct cw_owner *owner, struct timespec now);
 
 /* True while this VM is the owner and makes decisions. */
 bool cw_owner_active(const struct cw_owner *owner);
 
-/* Figures for metrics. */
+/* Values for metrics. */
 struct cw_owner_stats {
     unsigned jobs;
     unsigned targets;
     unsigned runs;
-    unsigned waiting;        /* jobs that could run and have not for 3 s or
-                                more, while most of their workers' capacity or
-                                twice what they need is free */
+    unsigned waiting; /* jobs that could run and have not for 3 s or more,
+                         while most of their workers' capacity, or twice the
+                         capacity that they need, is free */
     int64_t longest_wait_ms; /* of those jobs */
     unsigned repeating;      /* tasks that have lost three runs in a row */
 };
@@ -106,7 +106,7 @@
                      void *context);
 
 /* Writes for operators why a job waits or runs.  False if this VM is not the
- * owner, or does not know the job. */
+ * owner, or does not have the job. */
 bool cw_owner_explain(struct cw_owner *owner, const char *job,
                       struct timespec now, GString *out);
 
--- a/include/curlewcart/cw_stragglers.h
+++ b/include/curlewcart/cw_stragglers.h
@@ -3,8 +3,8 @@
  *
  * Service times are heavy-tailed: some tasks take several times as long as
  * others of their kind on any worker, and restarting one only discards its
- * work and that of its gang.  So the low rate of one run does not show that
- * its worker is faulty.  A worker is taken for faulty if the run was faster
+ * work and that of its gang.  So the low rate of one run is no evidence that
+ * its worker is faulty.  A worker is considered faulty if the run was faster
  * there before, or if runs of other jobs are slow there as well.
  *
  * Pure: no I/O and no clock of its own.
@@ -63,8 +63,8 @@
     double expected; /* percent per second on another one; above 0 */
 };
 
-/* True if a restart on another worker ends earlier than the run would here,
- * also with the cost of the restart. */
+/* True if a restart on another worker, with its cost, would end earlier than
+ * the run on its present worker. */
 bool cw_restart_is_worthwhile(const struct cw_restart *restart);
 
 #endif
--- a/include/curlewcart/cw_target.h
+++ b/include/curlewcart/cw_target.h
@@ -28,10 +28,11 @@
     const char *kind;
     struct cw_resources capacity;
     bool draining;
-    int64_t remaining_ms; /* while draining: it stays at least this long */
-    int64_t clock_ms;     /* its clock when it reported; 0 unknown */
-    int64_t boot_ms; /* boot time of this incarnation, by the worker's wall
-                        clock; 0 unknown */
+    /* While draining: minimum time until it shuts down. */
+    int64_t remaining_ms;
+    int64_t clock_ms; /* its clock when it reported; 0 unknown */
+    int64_t boot_ms;  /* boot time of this incarnation, by the worker's wall
+                         clock; 0 unknown */
 };
 
 /* Name of a task, unique within a deployment. */
@@ -44,16 +45,18 @@
 
 enum cw_target_status {
     CW_TARGET_OK,
-    CW_TARGET_FENCED,      /* it has seen a higher fencing token */
+    CW_TARGET_FENCED,      /* it has received a higher fencing token */
     CW_TARGET_OLD_RUN,     /* this run or a higher one was stopped or ended */
     CW_TARGET_LATE,        /* the granted lease has expired already */
     CW_TARGET_NO_CAPACITY, /* the run does not fit now */
     CW_TARGET_NO_TICKET,   /* the policy's ticket is missing or invalid */
-    CW_TARGET_OTHER_INCARNATION, /* another one answers at the address */
-    CW_TARGET_UNHEALTHY,         /* the worker reports that it did nothing */
-    CW_TARGET_INVALID,     /* the order or the answer could not be decoded */
+    CW_TARGET_OTHER_INCARNATION, /* another incarnation answers there */
+    CW_TARGET_UNHEALTHY, /* the worker reports that it has not carried out the
+                            order */
+    CW_TARGET_INVALID,   /* the order or the answer could not be decoded */
     CW_TARGET_UNREACHABLE, /* no connection: nothing was sent */
-    /* No answer: the order may have been carried out, or may be later. */
+    /* No answer: the order may have been carried out, or may still be carried
+     * out later. */
     CW_TARGET_UNKNOWN
 };
 
@@ -112,7 +115,7 @@
 struct cw_target_order {
     enum cw_order_kind kind;
     const char *address;
-    const char *id;         /* of the worker that it is meant for */
+    const char *id;         /* of the worker that the order is meant for */
     uint64_t fence;         /* fencing token */
     int64_t lease_until_ms; /* on the worker's clock; 0: none granted */
     /* poll */
--- a/src/owner/internal/owner_crashes.h
+++ b/src/owner/internal/owner_crashes.h
@@ -9,30 +9,33 @@
  * first is dropped. */
 void owner_crashes_collect(const struct owner_run *run, struct timespec now);
 
-/* The worker has crashed; its next incarnation has this boot time (by its wall
- * clock; 0: unknown).  Counts the pending suspicions, which may end jobs. */
+/* Counts the pending suspicions of a worker that has crashed, which may end
+ * jobs.  Its next incarnation has this boot time (by its wall clock; 0:
+ * unknown). */
 void owner_crashes_confirmed(struct cw_owner *owner,
                              struct owner_target *target, int64_t boot_ms);
 
-/* The worker's runs were dropped.  Counts the pending suspicions if it is
- * certain that the worker has crashed, which may end jobs; else keeps them. */
+/* To be called when the worker's runs were dropped.  Counts the pending
+ * suspicions if it is certain that the worker has crashed, which may end jobs;
+ * else leaves them pending. */
 void owner_crashes_resolve(struct cw_owner *owner, struct owner_target *target,
                            struct timespec now);
 
-/* A worker that was given up answers, as the incarnation with this boot time
- * (0: unknown).  Another incarnation confirms the crash; the same one was only
- * unresponsive, and what was counted is revoked. */
+/* To be called when a worker that was given up answers, as the incarnation
+ * with this boot time (0: unknown).  Another incarnation than before confirms
+ * the crash; the same one refutes it, and the suspicion that was added is
+ * revoked. */
 void owner_crashes_answered(struct cw_owner *owner,
                             struct owner_target *target, int64_t boot_ms);
 
-/* A worker was added to the list, or removed from it: of two incarnations at
- * an address the unlisted one is over. */
+/* To be called when a worker was added to the list, or removed from it: of two
+ * incarnations at one address the unlisted one is over. */
 void owner_crashes_listed(struct cw_owner *owner, struct owner_target *target);
 void
 owner_crashes_unlisted(struct cw_owner *owner, struct owner_target *target);
 
-/* A worker has reported the run as running: may end its probation and its
- * task's suspicion. */
+/* Processes a worker's report of the run as running: may end the run's
+ * probation and its task's suspicion. */
 void owner_crashes_observe(struct owner_run *run, struct timespec now);
 
 /* Creates an empty array for a worker's pending suspicions. */
--- a/src/owner/internal/owner_epochs.h
+++ b/src/owner/internal/owner_epochs.h
@@ -1,4 +1,4 @@
-/* Epochs of owners, and when the leases given under earlier ones expire. */
+/* Epochs of owners, and when the leases granted under earlier ones expire. */
 #ifndef CURLEWCART_OWNER_EPOCHS_H
 #define CURLEWCART_OWNER_EPOCHS_H
 
@@ -13,33 +13,37 @@
 bool
 owner_may_extend_leases(const struct cw_owner *owner, struct timespec now);
 
-/* Until its records are read, an earlier process of this VM is assumed to have
- * given leases until now. */
+/* Creates and frees the epochs of an owner.  Until its records are read, an
+ * earlier process of this VM is assumed to have granted leases until now. */
 struct owner_epochs *owner_epochs_create(const struct cw_owner *owner);
 void owner_epochs_free(struct owner_epochs *epochs);
 
-/* Writes a record of the epoch that was opened, on the idle log of jobs. */
+/* Writes a record of the epoch that was opened to the log of jobs, which must
+ * be idle. */
 void owner_epochs_write_begin(struct cw_owner *owner);
 
-/* True once that record is stored: only then may this VM give leases. */
+/* True once that record is stored: only then may this VM grant leases. */
 bool owner_epochs_begin_is_stored(const struct cw_owner *owner);
 
-/* Sets the end of lease of each worker with runs to the latest that earlier
- * owners may have given it; to be called once all their records are read. */
+/* Sets the end of the lease of each worker with runs to the latest end that
+ * earlier owners may have granted; to be called once all their records are
+ * read. */
 void owner_epochs_bound_leases(struct cw_owner *owner, struct timespec now);
 
-/* To be called when a record is read that another VM's epoch has ended, while
- * this VM is the owner. */
+/* Lowers bounds on leases, after a record was read that another VM's epoch has
+ * ended; to be called while this VM is the owner. */
 void owner_epochs_on_other_ended(struct cw_owner *owner, const char *vm);
 
-/* Writes, once all leases given by earlier owners have expired, a record that
- * they have; false if the idle log of jobs was not used. */
+/* Once all leases granted by earlier owners have expired, writes a record of
+ * that to the log of jobs, which must be idle; false if nothing was written.
+ */
 bool owner_epochs_write_settled(struct cw_owner *owner, struct timespec now);
 
-/* Remembers the leases that this VM may have given, when ownership is lost. */
+/* Records the leases that this VM may have granted; to be called when
+ * ownership is lost. */
 void owner_epochs_on_ownership_lost(struct cw_owner *owner);
 
-/* Writes that this VM's last epoch has ended; returns when it is to be called
+/* Writes that this VM's last epoch has ended; returns when it has to be called
  * next. */
 struct timespec owner_epochs_tick(struct cw_owner *owner, struct timespec now);
 
--- a/src/owner/internal/owner_idle.h
+++ b/src/owner/internal/owner_idle.h
@@ -13,10 +13,10 @@
 
 /* Why a job's last runs were stopped or lost before they were done. */
 enum owner_idle_cause {
-    OWNER_IDLE_NONE, /* nothing has run yet, or what ran is done */
+    OWNER_IDLE_NONE, /* nothing has run yet, or the last runs are done */
     OWNER_IDLE_MOVED,
     OWNER_IDLE_STALLED,
-    OWNER_IDLE_EVACUATED,
+    OWNER_IDLE_DRAINED,
     OWNER_IDLE_UNANSWERED, /* a start without an answer was given up, and its
                               gang was stopped */
     OWNER_IDLE_PREEMPTED,
@@ -41,11 +41,11 @@
 
 /* ---- owner_idle.c ---- */
 
-/* Starts the job's idle time: a step was unblocked, or the job has become
- * known. */
+/* Starts the job's idle time, after a step was unblocked or the job was
+ * adopted. */
 void owner_idle_begin(struct cw_owner *owner, struct owner_job *job);
 
-/* Ends the job's idle time: a worker has listed a run of it. */
+/* Ends the job's idle time, after a worker has listed a run of it. */
 void owner_idle_end(struct cw_owner *owner, struct owner_job *job);
 
 /* Checks which jobs could run and do not, and logs why. */
--- a/src/owner/internal/owner_incarnations.h
+++ b/src/owner/internal/owner_incarnations.h
@@ -1,7 +1,7 @@
 /* Incarnations of workers: each lasts from the start of the worker's process
  * until that crashes; the next one may have the same id. */
-#ifndef CURLEWCART_OWNER_LIVES_H
-#define CURLEWCART_OWNER_LIVES_H
+#ifndef CURLEWCART_OWNER_INCARNATIONS_H
+#define CURLEWCART_OWNER_INCARNATIONS_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -16,8 +16,8 @@
 enum { OWNER_ORDER_DELAY_MAX_MS = 500 };
 
 /* State of one incarnation of a worker.  A worker that crashes may start again
- * under its id without any memory, and numbers its ends from 1 again, so all
- * of this is dropped at once; owner_incarnations.c. */
+ * under its id without any state, and numbers its ends from 1 again, so all of
+ * this is dropped at once; owner_incarnations.c. */
 struct owner_incarnation {
     int64_t boot_ms; /* boot time by its own wall clock; 0 unknown */
     bool clock_known;
@@ -32,7 +32,7 @@
     uint64_t ends_confirmed;
     struct timespec poll_answered_at; /* a poll was last answered */
     unsigned failures;             /* jobs in a row whose tasks failed there */
-    unsigned failed_job;           /* the last of them: hash of its id */
+    unsigned failed_job;           /* last of those jobs: hash of its id */
     struct timespec suspect_until; /* tasks failed or stalled there */
     struct timespec slow_until;    /* its tasks make slow progress */
     unsigned slow_job; /* of the last slow run: hash of the job's id; 0: none,
@@ -48,28 +48,28 @@
 bool owner_run_is_of_other_incarnation(const struct owner_run *run,
                                        int64_t boot_ms);
 
-/* A poll was answered by the incarnation with this boot time (0: unknown).  If
- * it is a new one, drops the state of the former one; its runs stay until the
- * lists in the answer have shown which of them are gone.  Returns true if it
- * is a new one. */
+/* Processes the answer to a poll from the incarnation with this boot time (0:
+ * unknown).  Returns true for a new incarnation; then the state of the former
+ * one is dropped, while its runs stay until the lists in the answer have shown
+ * which of them are gone. */
 bool owner_incarnation_answered(struct owner_target *target, int64_t boot_ms);
 
-/* A report of the worker gave this boot time. */
+/* Processes the boot time in a report of the worker. */
 void owner_incarnation_reported(struct owner_target *target, int64_t boot_ms);
 
-/* The run was lost with a former incarnation.  If a start of it had no answer
- * and may be carried out late, sends a stop to the present incarnation, which
- * then refuses the start. */
+/* Sends a stop of a run that was lost with a former incarnation, if a start of
+ * it had no answer and may be carried out late: the present incarnation then
+ * refuses the start. */
 void owner_incarnation_add_tombstone(const struct owner_run *run);
 
-/* The worker becomes unresponsive.  A start in flight may reach its next
- * incarnation, whose clock differs: raises the bound on the lease by the
- * longest delay of an order. */
+/* Raises the bound on the lease of a worker that becomes unresponsive by the
+ * longest delay of an order, if a start is in flight: the start may reach the
+ * next incarnation, whose clock differs. */
 void owner_incarnation_unresponsive(struct owner_target *target);
 
-/* The worker does not answer.  If it has reported a newer boot time, drops the
- * runs that were at work in the former incarnation as lost, without waiting
- * until the lease is over. */
+/* Processes a poll without an answer.  If the worker has reported a newer boot
+ * time, drops the runs that the former incarnation was executing as lost,
+ * without waiting until the lease is over. */
 void owner_incarnation_poll_failed(struct owner_target *target);
 
 #endif
--- a/src/owner/internal/owner_leases.h
+++ b/src/owner/internal/owner_leases.h
@@ -11,7 +11,7 @@
 
 struct owner_target;
 
-/* What has determined the bound on a worker's lease. */
+/* Source of the bound on a worker's lease. */
 enum owner_lease_source {
     OWNER_LEASE_OWN,           /* this owner, by a poll or a start */
     OWNER_LEASE_EARLIER_OWNER, /* earlier owners may have extended the lease */
@@ -47,16 +47,20 @@
 int64_t owner_lease_grant(struct owner_target *target, enum cw_order_kind kind,
                           struct timespec now);
 
-/* The worker's lease may last at least until `end`: raises its bound. */
+/* Raises the bound on the worker's lease, which may last at least until `end`.
+ */
 void owner_lease_raise(struct owner_target *target, struct timespec end,
                        enum owner_lease_source source);
 
-/* The worker's lease ends at `end` at the latest: lowers its bound. */
+/* Lowers the bound on the worker's lease, which ends at `end` at the latest.
+ */
 void owner_lease_lower(struct owner_target *target, struct timespec end,
                        enum owner_lease_source source);
 
-/* The worker has answered this owner, so it has seen its fencing token. */
-void owner_lease_token_seen(struct owner_target *target, struct timespec now);
+/* Bounds the lease of a worker that has answered this owner, and so has
+ * received its fencing token. */
+void
+owner_lease_token_received(struct owner_target *target, struct timespec now);
 
 /* True if an order of this owner may have granted the worker a lease. */
 bool owner_lease_possibly_granted(const struct owner_target *target);
--- a/src/owner/internal/owner_log.h
+++ b/src/owner/internal/owner_log.h
@@ -22,7 +22,7 @@
 /* Called once the batch is stored; the log is idle again then. */
 typedef void (*owner_batch_stored)(void *context, struct owner_batch *batch);
 
-/* An empty batch; `stored` may be NULL. */
+/* Creates an empty batch; `stored` may be NULL. */
 struct owner_batch *owner_batch_new(owner_batch_stored stored, void *context);
 
 /* Frees a batch that was not sent. */
@@ -32,16 +32,17 @@
  * both. */
 void owner_batch_put(struct owner_batch *batch, char *key, GByteArray *value);
 
-/* Adds the id of a job that the batch concerns, for `stored`.  Copied. */
-void owner_batch_add_job(struct owner_batch *batch, const char *job);
+/* Adds the id of a job or worker that the batch concerns, for `stored`.
+ * Copied. */
+void owner_batch_add_id(struct owner_batch *batch, const char *id);
 
-/* Ids of those jobs.  Borrowed. */
-const GPtrArray *owner_batch_jobs(const struct owner_batch *batch);
+/* Those ids.  Borrowed. */
+const GPtrArray *owner_batch_ids(const struct owner_batch *batch);
 
-/* When it was sent last. */
+/* Time when the batch was last sent. */
 struct timespec owner_batch_sent_at(const struct owner_batch *batch);
 
-/* How many records it has. */
+/* Number of records in the batch. */
 unsigned owner_batch_record_count(const struct owner_batch *batch);
 
 struct owner_log_options {
@@ -50,18 +51,18 @@
     struct cw_counters *counters;
     const char *topic; /* borrowed, static */
     unsigned partition;
-    /* The store accepted an append that was sent at `sent`: no other writer
-     * had fenced this one by then. */
+    /* Called when the store has accepted an append that was sent at `sent`: no
+     * other writer had fenced this one by then. */
     void (*confirmed)(void *context, struct timespec sent);
-    /* Another writer has fenced this one, or has used its epoch; the log is
-     * closed. */
+    /* Called when another writer has fenced this one, or has used its epoch;
+     * the log is closed. */
     void (*lost)(void *context, const char *reason);
     void *context;
 };
 
 struct owner_log;
 
-/* A closed log. */
+/* Creates a closed log. */
 struct owner_log *owner_log_create(const struct owner_log_options *options);
 void owner_log_free(struct owner_log *log);
 
@@ -83,10 +84,10 @@
 /* Sends a batch on an idle log; takes ownership of it. */
 void owner_log_send(struct owner_log *log, struct owner_batch *batch);
 
-/* When the last batch was first sent, without its retries. */
+/* Time when the last batch was first sent, without its retries. */
 struct timespec owner_log_last_sent_at(const struct owner_log *log);
 
-/* Retries what is due; returns when it is to be called next. */
+/* Retries an append that is due; returns when it has to be called next. */
 struct timespec owner_log_tick(struct owner_log *log, struct timespec now);
 
 #endif
--- a/src/owner/internal/owner_placement.h
+++ b/src/owner/internal/owner_placement.h
@@ -50,7 +50,7 @@
  * last one. */
 void owner_rack_count_lower_priority(struct owner_target *target, int change);
 
-/* Returns what a worker has free for new runs. */
+/* Returns a worker's free resources for new runs. */
 struct cw_resources owner_free_resources(const struct owner_target *target);
 
 /* True if the step's service, data residency and label and the cordons allow
@@ -85,9 +85,9 @@
 void owner_available_reset(struct owner_available *available,
                            const GPtrArray *steps);
 
-/* Returns the workers that are usable and have free at least what the least
- * demanding of the steps requires, as struct owner_target.  Borrowed until the
- * next call. */
+/* Returns the workers that are usable and have at least the free resources
+ * that the least demanding of the steps requires, as struct owner_target.
+ * Borrowed until the next call. */
 const GPtrArray *
 owner_available_targets(struct cw_owner *owner, struct timespec now);
 
@@ -112,14 +112,14 @@
 bool owner_memo_has_failed(struct cw_owner *owner, struct owner_step *step,
                            enum owner_attempt attempt, struct timespec now);
 
-/* Remembers that the attempt failed for the step. */
+/* Records that the attempt failed for the step. */
 void owner_memo_add_failure(struct cw_owner *owner, struct owner_step *step,
                             enum owner_attempt attempt, struct timespec now);
 
 /* ---- owner_headroom.c ---- */
 
-/* Counts again what urgent work uses, and sets the limits on the number of
- * workers that lower-priority work may use. */
+/* Counts the resources that urgent work uses, and sets the limits on the
+ * number of workers that lower-priority work may use. */
 void owner_headroom_update(struct cw_owner *owner, struct timespec now);
 
 /* True if the headroom allows the step's lower-priority work on the worker. */
@@ -147,8 +147,8 @@
 void
 owner_headroom_borrowed(struct cw_owner *owner, const struct owner_run *run);
 
-/* Returns how many accelerators are missing for what urgent work will request
- * before other runs can be stopped; 0 or less: there are enough. */
+/* Returns how many accelerators are missing for the urgent work that will
+ * arrive before other runs can be stopped; 0 or less: there are enough. */
 int64_t owner_headroom_shortage(struct cw_owner *owner, const char *service);
 
 /* Records that a run that was placed in headroom is being stopped. */
--- a/src/owner/internal/owner_private.h
+++ b/src/owner/internal/owner_private.h
@@ -30,7 +30,7 @@
 enum { OWNER_CLOCK_DRIFT_PERCENT = 2 };
 
 /* Phase of a run: the execution of a task on a worker, from its placement
- * until it is known that the worker does not execute it and never will. */
+ * until the worker is known not to execute it and not to start it later. */
 enum run_phase {
     RUN_RESERVED,   /* waits until other runs have freed its capacity */
     RUN_NEW,        /* placed; not in the store yet */
@@ -55,7 +55,7 @@
     bool on_probation; /* of a suspect task, without progress yet */
     /* Uses reserved headroom: not one of the worker's lower_priority_runs. */
     bool headroom_borrowed;
-    struct timespec stop_due; /* no stop is sent before */
+    struct timespec stop_due; /* no stop is sent before this time */
     struct timespec stop_confirmed_at;
     struct timespec created_at;
     struct timespec sent_at;    /* its start was last sent */
@@ -80,8 +80,9 @@
     unsigned failures;
     unsigned lost_runs; /* in a row, without an end; owner_idle.c */
     unsigned suspicion; /* of crashing its workers; owner_crashes.c */
-    struct timespec delayed_until; /* a suspect task is not placed before */
-    struct timespec idle_since;    /* its last running run was removed */
+    /* A suspect task is not placed before this time. */
+    struct timespec delayed_until;
+    struct timespec idle_since; /* its last running run was removed */
     bool done;
     char *saved;           /* newest checkpoint, or NULL */
     struct owner_run *run; /* or NULL */
@@ -108,8 +109,8 @@
     struct timespec rack_reservation_until; /* a rack is reserved for it */
     struct timespec rack_checked_at;        /* owner_step_needs_rack */
     bool rack_can_hold;
-    /* Highest run of the gang that never worked, as a member was certainly not
-     * started. */
+    /* Highest number of a run of the gang that certainly did no work, as a
+     * member was not started. */
     unsigned unstarted_run_max;
 };
 
@@ -133,11 +134,11 @@
     const char *service;                /* of `spec`, interned */
     unsigned phase;                     /* enum cw_work_phase */
     bool started;
-    bool begun;         /* a start was confirmed to this owner */
-    bool final;         /* its end is in a batch: no more state changes */
-    bool final_durable; /* its end is published: all VMs can read it */
-    bool dirty;         /* differs from the state stored or being stored */
-    bool unpublished;   /* its outcome has to be published to all VMs */
+    bool start_confirmed; /* to this owner or an earlier one */
+    bool final;           /* its end is in a batch: no more state changes */
+    bool final_durable;   /* its end is published: all VMs can read it */
+    bool dirty;           /* differs from the state stored or being stored */
+    bool unpublished;     /* its outcome has to be published to all VMs */
     unsigned published_phase; /* last phase published or being published */
     bool published_started;
     int64_t ended_ms;
@@ -154,20 +155,20 @@
     unsigned runs;
 };
 
-/* State of a worker's lease note, which announces in the log that all VMs read
- * that the worker's lease is no longer extended; owner_lease_notes.c. */
+/* State of a worker's lease note: a record in the log of jobs, which all VMs
+ * read, that the worker's lease is no longer extended; owner_lease_notes.c. */
 enum owner_lease_note {
     OWNER_LEASE_NOTE_NONE,    /* no note: the lease may be extended */
     OWNER_LEASE_NOTE_WRITTEN, /* in the batch being written, or stored */
     OWNER_LEASE_NOTE_DROPPED  /* its removal is in the batch being written */
 };
 
-/* What the owner knows of a worker; owner_targets.c. */
+/* The owner's state of a worker; owner_targets.c. */
 struct owner_target {
     struct owner_due_entry due; /* first member: a heap entry is cast to it */
     struct cw_owner *owner;
     char *id;
-    char *address;       /* "" while no report was read */
+    char *address;       /* "" until a report is read */
     const char *service; /* interned: compared by pointer */
     const char *dc;      /* interned, as is the rack */
     const char *rack;
@@ -175,35 +176,42 @@
     unsigned number;      /* counts workers in the order they became known */
     char *kind;
     struct cw_resources capacity;
-    struct cw_resources used;     /* by runs that may be on the worker */
-    struct cw_resources leaving;  /* part of used: by runs being stopped */
+    struct cw_resources used; /* by its runs, except those in RUN_RESERVED */
+    /* Part of `used`: by runs being stopped. */
+    struct cw_resources used_by_stopping;
     unsigned stopping;            /* number of those runs */
     struct cw_resources reserved; /* for runs in RUN_RESERVED */
-    struct cw_resources orphans;  /* used by runs that no task wants */
-    bool listed;                  /* the store has its report */
+    /* Used by listed runs that are no task's current run. */
+    struct cw_resources orphans;
+    bool listed; /* the store has its report */
     bool draining;
-    struct timespec drain_until; /* while draining: it stays until then */
-    bool superseded;             /* another incarnation has its address */
-    bool seen_in_reload;         /* found while the reports are reloaded */
-    struct timespec reported_at; /* its last report is no older */
-    int64_t reported_boot_ms;    /* boot time in the newest report */
+    /* While draining: it does not shut down before. */
+    struct timespec drain_until;
+    bool superseded;      /* another incarnation has its address */
+    bool found_in_reload; /* found while the reports are reloaded */
+    /* Its last report was written after this time. */
+    struct timespec reported_at;
+    int64_t reported_boot_ms;             /* boot time in the newest report */
     struct owner_incarnation incarnation; /* the last that answered */
-    /* Latest end of a lease that any incarnation was given, by this VM's clock
-     * and with drift. */
+    /* Latest end of a lease that was granted to any incarnation, by this VM's
+     * clock and with drift. */
     struct timespec lease_end;
     enum owner_lease_source lease_source;
-    /* Has answered a poll since the take-over, or since its runs were given
-     * up. */
+    /* Has answered a poll since the takeover, or since its runs were given up.
+     */
     bool answered;
     bool poll_in_flight;
     struct timespec poll_sent_at;
-    struct timespec answered_poll_sent_at; /* the last of them */
+    /* When the last answered poll was sent. */
+    struct timespec answered_poll_sent_at;
     struct timespec poll_due;
     struct timespec last_busy_at; /* when it last had a run, as far as known */
     unsigned unanswered_polls;    /* in a row */
-    struct timespec unresponsive_since; /* when it last became unresponsive */
+    /* When the first poll of the last series without an answer failed; not
+     * reset by an answer; 0: never. */
+    struct timespec unanswered_since;
     enum owner_lease_note lease_note;
-    struct timespec lease_note_at; /* it was last written or read */
+    struct timespec lease_note_at; /* when the note was last written or read */
     bool lease_note_queued;        /* it is in the owner's lease_notes_due */
     bool ends_new;                 /* it is in the owner's ends_new */
     GPtrArray *tombstones;         /* owner_tombstones.c */
@@ -224,13 +232,13 @@
     struct timespec rack_reserved_until;
 };
 
-/* Capacity that a service's workers reserve for urgent work. */
+/* Capacity of a service's workers that is reserved for urgent work. */
 struct owner_headroom {
-    struct cw_headroom forecast; /* of what urgent work will use */
+    struct cw_headroom forecast; /* of the use by urgent work */
     bool mostly_idle;
     /* Limit on the workers that lower-priority work may use. */
     unsigned max_lower_priority_workers;
-    unsigned lower_priority_workers; /* workers that it uses */
+    unsigned lower_priority_workers; /* workers that such work uses */
     int64_t free; /* free accelerators, once stopping runs have ended */
     /* Accelerators of runs that use reserved headroom. */
     int64_t headroom_borrowed;
@@ -240,7 +248,7 @@
     OWNER_IDLE,        /* another VM owns the shard, or none */
     OWNER_READING,     /* gained the shard; reads the log up to its end */
     OWNER_FENCING,     /* fences earlier owners */
-    OWNER_CATCHING_UP, /* reads what they wrote before they were fenced */
+    OWNER_CATCHING_UP, /* reads records that they wrote before that */
     OWNER_ACTIVE
 };
 
@@ -249,20 +257,23 @@
 struct owner_candidacy {
     GHashTable *capacities;    /* VM -> thousandths of a core, as announced */
     unsigned weak_below_milli; /* a VM with less is weak */
-    bool some_weak;            /* there is a weak VM */
+    bool some_weak;            /* at least one VM is weak */
     bool is_candidate;         /* this VM is a candidate for the shard */
-    bool outranked; /* a stronger VM has announced itself since then */
+    bool outranked; /* a stronger VM has announced itself since this VM became
+                       a candidate */
     bool announcing;
     bool announced;
     struct timespec announce_due;
-    struct timespec owner_wrote_at; /* an owner's record was last read */
-    struct timespec reading_since;  /* reads have been answered since */
+    /* When an owner's record was last read. */
+    struct timespec owner_record_read_at;
+    /* Reads have been answered since this time. */
+    struct timespec reading_since;
 };
 
-/* Limit on the orders in flight; owner_order_window.c. */
+/* Limit on outstanding orders; owner_order_window.c. */
 struct owner_order_window {
-    unsigned in_flight; /* orders, queued or sent */
-    unsigned max_in_flight;
+    unsigned outstanding; /* orders that are queued or sent */
+    unsigned max_outstanding;
     double mean_answer_ms; /* moving average of the time to an answer */
 };
 
@@ -285,17 +296,19 @@
     uint64_t epoch;
     uint64_t epoch_generation;
     unsigned epoch_count; /* epochs created in that generation */
-    unsigned term;        /* incremented whenever all below is dropped */
+    unsigned term; /* incremented whenever ownership is lost; answers to calls
+                      of an earlier term are ignored */
     struct timespec takeover_began_at;
-    struct timespec fencing_at; /* began to fence earlier owners */
+    struct timespec fencing_at; /* fencing of earlier owners began */
     struct timespec fenced_at;  /* earlier owners were fenced */
     struct cw_follower *reports;
-    struct owner_state_reader *stored; /* states of jobs, during a take-over */
-    GHashTable *jobs;                  /* id -> struct owner_job */
-    GHashTable *targets;               /* id -> struct owner_target */
-    struct owner_due *due;             /* when to process each target next */
-    GPtrArray *ends_new;  /* struct owner_target: ends not in a batch yet */
-    GPtrArray *ends_sent; /* ... with ends in the batch being written */
+    /* States of jobs, during a takeover. */
+    struct owner_state_reader *state_reader;
+    GHashTable *jobs;      /* id -> struct owner_job */
+    GHashTable *targets;   /* id -> struct owner_target */
+    struct owner_due *due; /* when to process each target next */
+    GPtrArray *ends_new;   /* struct owner_target: ends not in a batch yet */
+    GPtrArray *ends_sent;  /* ... with ends in the batch being written */
     GHashTable *targets_by_address; /* the last listed at each address */
     GHashTable *headroom;           /* service -> struct owner_headroom */
     struct owner_log *states_log;   /* CW_STATE_TOPIC */
@@ -305,7 +318,8 @@
     GPtrArray *past_states; /* char *: ids of jobs whose states are removed */
     /* struct owner_target: lease notes to be written or dropped. */
     GPtrArray *lease_notes_due;
-    /* Lease notes were written since outcomes were last: outcomes go first. */
+    /* Lease notes were written after the last outcomes: outcomes are written
+     * next. */
     bool lease_notes_sent;
     struct timespec flush_due;
     struct owner_candidacy candidacy;
@@ -319,7 +333,7 @@
     GHashTable *racks;         /* interned name -> number, from 1 */
     /* unsigned, by rack number: its workers with lower-priority work. */
     GArray *rack_lower_priority_workers;
-    struct owner_available *open; /* owner_available.c */
+    struct owner_available *available; /* owner_available.c */
     struct timespec sweep_due;
     struct timespec check_due;
     unsigned idle_polls_in_flight; /* to workers without runs */
@@ -327,9 +341,9 @@
     GHashTable *demand; /* account -> accelerators of its most urgent jobs;
                            owner_demand_update */
     struct owner_memo *memo;     /* owner_memo.c */
-    struct owner_hints *hints;   /* owner_hints.c; kept across terms */
-    struct owner_epochs *epochs; /* owner_epochs.c; kept across terms */
-    struct owner_idle_stats waits;
+    struct owner_hints *hints;   /* owner_hints.c; not dropped with a term */
+    struct owner_epochs *epochs; /* owner_epochs.c; not dropped with a term */
+    struct owner_idle_stats idle_stats;
 };
 
 /* ---- owner.c ---- */
@@ -338,12 +352,13 @@
  * Required for every order that changes a worker's state. */
 bool owner_may_order(const struct cw_owner *owner, struct timespec now);
 
-/* The store has confirmed that this VM is the owner, in the answer to a
- * request sent at `asked`. */
-void owner_confirm_ownership(struct cw_owner *owner, struct timespec asked);
+/* Records that the store has confirmed this VM as the owner, in the answer to
+ * a request sent at `requested_at`. */
+void
+owner_confirm_ownership(struct cw_owner *owner, struct timespec requested_at);
 
-/* Another owner has been detected: drops all state of the term and asks the
- * store who the owner is. */
+/* Ends this VM's ownership: drops all state of the term and requests a join at
+ * once. */
 void owner_drop_ownership(struct cw_owner *owner, const char *reason);
 
 static inline struct timespec
@@ -353,8 +368,7 @@
 }
 
 /* Starts to take over the shard that was just gained: reads the log up to its
- * end, fences earlier owners, reads what they wrote last, and becomes
- * active. */
+ * end, fences earlier owners, reads their last records, and becomes active. */
 void owner_take_over(struct cw_owner *owner, struct timespec now);
 
 /* ---- owner_group.c ---- */
@@ -369,7 +383,8 @@
 void owner_candidacy_init(struct cw_owner *owner);
 void owner_candidacy_clear(struct cw_owner *owner);
 
-/* A VM has announced its processor capacity, in thousandths of a core. */
+/* Records the processor capacity, in thousandths of a core, that a VM has
+ * announced. */
 void owner_candidacy_announced(struct cw_owner *owner, const char *vm,
                                unsigned capacity_milli);
 
@@ -389,14 +404,15 @@
 /* ---- owner_endless.c ---- */
 
 /* True if the run must not be stopped because too many other tasks of its step
- * are unavailable, or will be once the runs in `leaving` (a set; NULL: none)
- * have stopped. */
-bool owner_endless_protects(const struct owner_run *run, GHashTable *leaving);
+ * are unavailable, or will be once the runs in `stopping_runs` (a set; NULL:
+ * none) have stopped. */
+bool
+owner_endless_protects(const struct owner_run *run, GHashTable *stopping_runs);
 
 /* ---- owner_drain.c ---- */
 
-/* A worker has reported that it is draining, and how long it stays at
- * least. */
+/* Records that a worker is draining, and the minimum time until it shuts down.
+ */
 void owner_drain_announced(struct owner_target *target, int64_t remaining_ms,
                            struct timespec now);
 
@@ -434,7 +450,7 @@
 
 /* ---- owner_jobs.c ---- */
 
-/* The job's state has changed: writes it in the next batch. */
+/* Marks the job's state as changed: it is written in the next batch. */
 void owner_job_mark_dirty(struct cw_owner *owner, struct owner_job *job);
 
 /* Ends a job before its work is done, and stops its runs. */
@@ -445,12 +461,13 @@
 void owner_job_check_deadline(struct cw_owner *owner, struct owner_job *job,
                               struct timespec now);
 
-/* A worker has confirmed a start: records that the job runs, and where. */
+/* Records that a worker has confirmed a start of the job, and where it runs.
+ */
 void owner_job_start_confirmed(struct cw_owner *owner, struct owner_job *job,
                                const struct owner_target *target);
 
-/* A step's tasks are all done: unblocks later steps, and ends the job if it is
- * complete. */
+/* Completes a step whose tasks are all done: unblocks later steps, and ends
+ * the job if it is complete. */
 void owner_step_done(struct cw_owner *owner, struct owner_step *step);
 
 /* Opens occurrences that are due; returns when the next one is. */
@@ -553,7 +570,7 @@
 void owner_runs_promote_reserved(struct cw_owner *owner,
                                  struct owner_target *target);
 
-/* Keeps a checkpoint that a worker has reported; "" is none. */
+/* Stores a checkpoint that a worker has reported; "": none. */
 void owner_task_save_checkpoint(struct owner_task *task, const char *saved);
 
 /* Applies an end that a worker has reported. */
@@ -578,12 +595,12 @@
 struct owner_hints *owner_hints_create(void);
 void owner_hints_free(struct owner_hints *hints);
 
-/* Remembers an end that was applied and is not stored yet. */
+/* Records an end that was applied and is not stored yet. */
 void
 owner_hints_add_end(struct owner_target *target, const struct cw_ended *ended);
 
-/* The owner is about to drop its workers: queues hints for the next owner of
- * ends on draining workers that are not known to be stored. */
+/* Queues hints for the next owner of ends on draining workers that are not
+ * known to be stored; to be called before the owner drops its workers. */
 void owner_hints_queue_unstored(struct cw_owner *owner);
 
 /* Sends hints that are due; returns when it has to be called next. */
@@ -607,8 +624,9 @@
 bool owner_at_most_once_may_start(const struct cw_owner *owner,
                                   const struct owner_step *step);
 
-/* A run is over without being done.  Ends its job if that is at-most-once and
- * the run may have worked; to be called before the run is dropped. */
+/* Ends the job of a run that is over without being done, if the job is
+ * at-most-once and the run may have worked; to be called before the run is
+ * dropped. */
 void owner_at_most_once_run_over(struct cw_owner *owner,
                                  const struct owner_run *run, bool worked,
                                  enum cw_result reason);
@@ -623,8 +641,10 @@
 /* Stops runs in data centres that their accounts no longer permit. */
 void owner_residency_enforce(struct cw_owner *owner);
 
-/* A worker reports as done a run that is not the task's current one: the task
- * is done, and its current run is stopped. */
+/* ---- owner_runs.c ---- */
+
+/* Marks a task as done, after a worker has reported as done a run that is not
+ * its current one; stops the current run. */
 void owner_task_done_late(struct cw_owner *owner, struct owner_task *task);
 
 /* Evicts the worker's runs whose placement is not being stored yet, so that
@@ -655,20 +675,20 @@
 /* Frees a worker with its runs and queued orders. */
 void owner_target_free(gpointer target);
 
-/* Sets the worker's rack and keeps the counts per rack up to date. */
+/* Sets the worker's rack and updates the counts per rack. */
 void owner_target_set_rack(struct owner_target *target, const char *rack);
 
-/* Something about the worker has changed: processes it at the next tick. */
+/* Makes the worker due at the next tick, after a change that concerns it. */
 void owner_target_wake(struct owner_target *target);
 
-/* Processes all workers at the next tick. */
+/* Makes all workers due at the next tick. */
 void owner_targets_wake_all(struct cw_owner *owner);
 
-/* Ends that the worker has reported were applied: they are confirmed to it
- * once that is stored. */
+/* Records that ends reported by the worker were applied: they are confirmed to
+ * the worker once that is stored. */
 void owner_target_ends_applied(struct owner_target *target);
 
-/* The worker with this id; created if it is not known. */
+/* Returns the worker with this id; creates it if necessary. */
 struct owner_target *owner_target_get(struct cw_owner *owner, const char *id);
 
 /* Applies a worker's report of itself; `context` is the owner. */
@@ -679,7 +699,8 @@
 void
 owner_target_apply_record(void *context, const struct cw_store_record *record);
 
-/* The workers' topic is loaded again from its start, and has been. */
+/* Called before and after the workers' topic is loaded again from its start.
+ */
 void owner_targets_reset(void *context);
 void owner_targets_loaded(void *context);
 
@@ -700,7 +721,7 @@
                        const char *reason);
 
 /* True if the worker's reported capacity can be relied on: the report is
- * recent, or the worker refuses what does not fit. */
+ * recent, or the worker refuses runs that do not fit. */
 bool owner_target_capacity_known(const struct owner_target *target,
                                  struct timespec now);
 
@@ -718,12 +739,12 @@
 owner_target_add_failure(struct owner_target *target,
                          const struct owner_task *task, struct timespec now);
 
-/* A task succeeded on the worker: resets the count of failures. */
+/* Resets the worker's count of failures, after a task succeeded there. */
 void owner_target_add_success(struct owner_target *target);
 
 /* ---- owner_orders.c ---- */
 
-/* A start or stop order, queued or in flight. */
+/* A start or stop order that is queued or in flight. */
 struct owner_order {
     struct cw_owner *owner;
     unsigned term;
@@ -733,7 +754,7 @@
     struct cw_task_name task; /* task.job points to `job` */
     unsigned run;
     struct timespec sent;
-    struct timespec due; /* of a start: not resent before */
+    struct timespec due; /* of a start: not resent before this time */
 };
 
 /* Frees an order and takes it out of the count of orders in flight. */
@@ -755,7 +776,7 @@
 /* Sets the initial limit, for a new owner. */
 void owner_order_window_reset(struct owner_order_window *order_window);
 
-/* An order was answered after `took_ms`. */
+/* Records that an order was answered after `took_ms`. */
 void owner_order_window_answered(struct owner_order_window *order_window,
                                  int64_t took_ms);
 
@@ -778,18 +799,18 @@
 /* Creates an empty array for a worker's tombstones. */
 GPtrArray *owner_tombstones_new(void);
 
-/* The run is given up: adds a tombstone if its start may still arrive at the
- * worker. */
+/* Adds a tombstone for a run that is given up, if its start may still arrive
+ * at the worker. */
 void owner_tombstone_add(const struct owner_run *run);
 
-/* The worker's queue of orders was emptied: the tombstones' stops have to be
- * queued again. */
+/* Records that the worker's queue of orders was emptied: the tombstones' stops
+ * have to be queued again. */
 void owner_tombstone_unqueue(struct owner_target *target);
 
 /* True if the worker has tombstones: its lease must not be extended. */
 bool owner_tombstone_pending(const struct owner_target *target);
 
-/* A stop was answered, perhaps one that a tombstone had queued. */
+/* Processes the answer to a stop, which a tombstone may have queued. */
 void owner_tombstone_answered(struct owner_target *target,
                               const struct cw_task_name *task, unsigned run,
                               bool confirmed, struct timespec now);
@@ -816,7 +837,7 @@
 
 /* ---- owner_speed.c ---- */
 
-/* A worker has reported a run's progress. */
+/* Processes a run's progress as reported by its worker. */
 void owner_speed_observe(struct cw_owner *owner, struct owner_run *run,
                          unsigned percent, struct timespec now);
 
--- a/src/owner/internal/owner_spare.h
+++ b/src/owner/internal/owner_spare.h
@@ -1,12 +1,12 @@
-/* Spare capacity as reported by workers, and what blocks a step from using
- * it. */
+/* Spare capacity as reported by workers, and the reasons that block a step
+ * from using it. */
 #ifndef CURLEWCART_OWNER_SPARE_H
 #define CURLEWCART_OWNER_SPARE_H
 
 #include "owner/internal/owner_private.h"
 
-/* What blocks a step from using spare capacity of a worker: the first that
- * applies, in this order. */
+/* Reason that blocks a step from using spare capacity of a worker: the first
+ * that applies, in this order. */
 enum owner_blocker {
     OWNER_BLOCKER_NONE,        /* the next placement pass may use it */
     OWNER_BLOCKER_UNCONFIRMED, /* assigned to runs that it has not confirmed */
@@ -41,7 +41,7 @@
 bool owner_spare_fits_twice(const struct owner_spare *spare,
                             struct owner_step *step);
 
-/* Returns how much of the step would fit, by what blocks it. */
+/* Returns how much of the step would fit, by blocker. */
 struct owner_spare_fit
 owner_spare_fit(const struct owner_spare *spare, struct owner_step *step);
 
--- a/src/owner/internal/owner_state_reader.h
+++ b/src/owner/internal/owner_state_reader.h
@@ -1,9 +1,9 @@
-/* Reads the stored states of jobs, for a VM that takes a shard over.
+/* Reads the stored states of jobs, for a VM that takes over a shard.
  *
  * Only such a VM reads them, from a topic of their own, because they are
- * nearly all that an owner writes.  When they were in the log that every VM
- * follows, 147 VMs read 55 MB each in a calm run of 34 s and used up
- * the store's bandwidth.
+ * nearly all that an owner writes.  In the log that every VM follows, they
+ * made 147 VMs read 55 MB each in 34 s without faults, which used up the
+ * store's bandwidth.
  */
 #ifndef CURLEWCART_OWNER_STATE_READER_H
 #define CURLEWCART_OWNER_STATE_READER_H
@@ -15,13 +15,14 @@
 
 struct owner_state_reader;
 
-/* Begins without any states; they are read as its follower is ticked. */
+/* Creates a reader without states; they are read as its follower is ticked. */
 struct owner_state_reader *
 owner_state_reader_create(struct cw_store *store, struct cw_clock *clock,
                           unsigned partition);
 void owner_state_reader_free(struct owner_state_reader *reader);
 
-/* Loads the states, then follows what the present owner still writes. */
+/* Loads the states, then follows the states that the present owner still
+ * writes. */
 struct cw_follower *
 owner_state_reader_follower(struct owner_state_reader *reader);
 
--- a/src/owner/owner.c
+++ b/src/owner/owner.c
@@ -6,20 +6,20 @@
 
 enum {
     CAPACITY_DEFAULT_MILLI = 1000, /* one core, where none is configured */
-    /* Reading the logs to their ends before the present owner is fenced takes
-     * a few reads.  After so long the owner is fenced all the same: it may
+    /* The present owner is fenced after this time even if this VM has not read
+     * the logs to their ends, which normally takes a few reads.  The owner may
      * write faster than this VM reads, but the end of a log that nobody
-     * appends to can be reached.  Some twenty times what a takeover took at
-     * 147 VMs, 70 to 80 ms. */
+     * appends to can be reached.  A takeover with 147 VMs takes 70 to 80 ms,
+     * about a twentieth of this time. */
     READ_BEFORE_FENCING_MAX_MS = 1500,
-    /* Starts and stops need a confirmation of ownership by the store whose age
-     * is less than the member's time to live by this. */
+    /* Starts and stops require a confirmation of ownership by the store that
+     * is younger than the member's time to live minus this. */
     ORDER_CONFIRMATION_SLACK_MS = 150,
     REPORTS_READ_INTERVAL_MS = 500,
     REPORT_INTERVAL_DEFAULT_MS = 1500, /* of workers, if not configured */
     PLACE_INTERVAL_MIN_MS = 10,
-    /* From the start of a placement pass to the next, in durations of the
-     * pass: it takes at most a quarter of the time. */
+    /* Interval from the start of a placement pass to the next, in durations of
+     * the pass: placement takes at most a quarter of the time. */
     PLACE_INTERVAL_FACTOR = 4,
     CHECK_INTERVAL_MS = 100,
     SWEEP_INTERVAL_MS = 5000,
@@ -30,8 +30,8 @@
 static void
 free_state_reader(struct cw_owner *owner)
 {
-    owner_state_reader_free(owner->stored);
-    owner->stored = NULL;
+    owner_state_reader_free(owner->state_reader);
+    owner->state_reader = NULL;
 }
 
 static void
@@ -58,7 +58,7 @@
     cw_follower_free(owner->reports);
     owner->reports = NULL;
     free_state_reader(owner);
-    memset(&owner->waits, 0, sizeof(owner->waits));
+    memset(&owner->idle_stats, 0, sizeof(owner->idle_stats));
     owner->state = OWNER_IDLE;
 }
 
@@ -95,7 +95,8 @@
         owner->ownership_confirmed_at = requested_at;
     }
     if (!could_order) {
-        owner_targets_wake_all(owner); /* orders to them have waited */
+        owner_targets_wake_all(
+            owner); /* their orders have waited for the confirmation */
     }
 }
 
@@ -132,7 +133,7 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         owner_job_adopt(owner, value);
     }
-    owner_state_reader_each(owner->stored, drop_state_if_past, owner);
+    owner_state_reader_each(owner->state_reader, drop_state_if_past, owner);
     free_state_reader(owner);
     owner_epochs_bound_leases(owner, now);
     owner_lease_notes_adopt(owner);
@@ -189,7 +190,7 @@
         cw_follower_read_now(cw_replica_follower(owner->options.replica));
     }
     follow_reports(owner);
-    owner->stored = owner_state_reader_create(
+    owner->state_reader = owner_state_reader_create(
         owner->options.store, owner->options.clock, owner->options.partition);
 }
 
@@ -233,18 +234,18 @@
     }
 }
 
-/* An earlier owner is active until it is fenced; from then on nobody is until
- * this VM has read the logs to their ends.  A VM whose connection to the store
- * was broken may be seconds behind.  Fencing first left 350 workers without an
- * owner for 0.6 s; reading first leaves them without one for one read of the
- * log. */
+/* An earlier owner is active until it is fenced; from then on no owner is
+ * active until this VM has read the logs to their ends.  A VM whose connection
+ * to the store was broken may be seconds behind: if it fenced the owner first,
+ * 350 workers would be without an owner for 0.6 s.  After reading first they
+ * are without one for one read of the log. */
 static bool
 has_read_to_end(const struct cw_owner *owner, struct timespec now)
 {
     const struct cw_follower *jobs =
         cw_replica_follower(owner->options.replica);
     const struct cw_follower *states =
-        owner_state_reader_follower(owner->stored);
+        owner_state_reader_follower(owner->state_reader);
 
     if (!cw_follower_loaded(jobs) || !cw_follower_loaded(states) ||
         !cw_follower_loaded(owner->reports))
@@ -264,7 +265,7 @@
     const struct cw_follower *jobs =
         cw_replica_follower(owner->options.replica);
     const struct cw_follower *states =
-        owner_state_reader_follower(owner->stored);
+        owner_state_reader_follower(owner->state_reader);
 
     return owner_epochs_begin_is_stored(owner) && cw_follower_loaded(jobs) &&
            cw_follower_loaded(states) && cw_follower_loaded(owner->reports) &&
@@ -306,8 +307,8 @@
     }
 }
 
-/* A later epoch means that another VM has fenced this one; the next append
- * would show it too. */
+/* Drops ownership if the epoch is a later one: another VM has fenced this one;
+ * the next append would fail because of that. */
 static void
 on_epoch_began(void *context, uint64_t epoch)
 {
@@ -359,7 +360,7 @@
 {
     struct cw_owner *owner = context;
 
-    owner->candidacy.owner_wrote_at = owner_now(owner);
+    owner->candidacy.owner_record_read_at = owner_now(owner);
 }
 
 /* ---- public ---- */
@@ -401,7 +402,7 @@
     owner->racks = g_hash_table_new(NULL, NULL);
     owner->rack_lower_priority_workers =
         g_array_new(FALSE, TRUE, sizeof(unsigned));
-    owner->open = owner_available_create();
+    owner->available = owner_available_create();
     owner_order_window_reset(&owner->order_window);
     owner->ends_new = g_ptr_array_new();
     owner->ends_sent = g_ptr_array_new();
@@ -437,7 +438,7 @@
     owner_due_free(owner->due);
     g_hash_table_unref(owner->racks);
     g_array_unref(owner->rack_lower_priority_workers);
-    owner_available_free(owner->open);
+    owner_available_free(owner->available);
     g_ptr_array_unref(owner->ends_new);
     g_ptr_array_unref(owner->ends_sent);
     g_hash_table_unref(owner->targets_by_address);
@@ -470,7 +471,7 @@
 
 /* ---- ticking ---- */
 
-/* Processes a worker; returns when it is to be processed again. */
+/* Processes a worker; returns when it has to be processed again. */
 static struct timespec
 tick_target(struct cw_owner *owner, struct owner_target *target,
             struct timespec now)
@@ -581,14 +582,14 @@
     return next;
 }
 
-/* Continues a takeover; returns when it is to be called next. */
+/* Continues a takeover; returns when it has to be called next. */
 static struct timespec
 tick_takeover(struct cw_owner *owner, struct timespec now)
 {
     struct timespec next = cw_time_add_ms(now, TAKEOVER_STEP_MS);
 
     cw_follower_tick(owner->reports, now);
-    cw_follower_tick(owner_state_reader_follower(owner->stored), now);
+    cw_follower_tick(owner_state_reader_follower(owner->state_reader), now);
     owner_log_tick(owner->states_log, now);
     owner_log_tick(owner->jobs_log, now);
     if (owner->state == OWNER_READING && has_read_to_end(owner, now)) {
@@ -602,7 +603,7 @@
         owner->fenced_at = now;
         owner_epochs_write_begin(owner);
         cw_follower_read_now(cw_replica_follower(owner->options.replica));
-        cw_follower_read_now(owner_state_reader_follower(owner->stored));
+        cw_follower_read_now(owner_state_reader_follower(owner->state_reader));
     }
     if (owner->state == OWNER_CATCHING_UP && has_caught_up(owner)) {
         become_active(owner, now);
@@ -636,9 +637,9 @@
     memset(out, 0, sizeof(*out));
     out->jobs = g_hash_table_size(owner->jobs);
     out->targets = g_hash_table_size(owner->targets);
-    out->waiting = owner->waits.jobs;
-    out->longest_wait_ms = owner->waits.longest_ms;
-    out->repeating = owner->waits.repeating;
+    out->waiting = owner->idle_stats.jobs;
+    out->longest_wait_ms = owner->idle_stats.longest_ms;
+    out->repeating = owner->idle_stats.repeating;
     g_hash_table_iter_init(&iterator, owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         out->runs += ((struct owner_target *)value)->runs->len;
--- a/src/owner/owner_at_most_once.c
+++ b/src/owner/owner_at_most_once.c
@@ -2,7 +2,7 @@
  *
  * A task is not started again after a start that may have been carried out.
  * It may be retried if it certainly did not work: the worker refused the
- * start, a worker that has seen a higher fencing token does not report the
+ * start, a worker that has received a higher fencing token does not report the
  * run, or a member of its gang was never started. */
 #include "owner/internal/owner_private.h"
 
--- a/src/owner/owner_available.c
+++ b/src/owner/owner_available.c
@@ -1,8 +1,8 @@
 /* The workers with free capacity, listed once for all steps of a placement
  * pass.
  *
- * Under load most workers are full.  When each step scanned all workers, that
- * was about half of the cost of placement with 3,000 of them.  Within a pass
+ * Under load most workers are full.  A scan of all workers for each step would
+ * be about half of the cost of placement with 3,000 workers.  Within a pass
  * free capacity only shrinks, until a run is dropped; then the list is built
  * anew. */
 #include "owner/internal/owner_placement.h"
@@ -63,7 +63,7 @@
 const GPtrArray *
 owner_available_targets(struct cw_owner *owner, struct timespec now)
 {
-    struct owner_available *available = owner->open;
+    struct owner_available *available = owner->available;
     GHashTableIter iterator;
     gpointer value;
 
--- a/src/owner/owner_candidacy.c
+++ b/src/owner/owner_candidacy.c
@@ -10,18 +10,19 @@
 #include "owner/internal/owner_private.h"
 
 enum {
-    /* A VM is weak below two thirds of the strongest: a takeover polls every
-     * worker, so that a smaller difference is not worth one. */
+    /* A VM is weak if it has less than two thirds of the strongest VM's
+     * capacity: a takeover polls every worker, so that a smaller difference
+     * does not justify a takeover. */
     WEAK_NUMERATOR = 2,
     WEAK_DENOMINATOR = 3,
-    /* So many of the strongest VMs are never weak: they replace each other,
+    /* This many of the strongest VMs are never weak: they replace each other,
      * and other VMs reach the store through them. */
     STRONG_COUNT_MIN = 3,
-    /* Strong VMs replace a dead owner within the member's time to live, 1.3 s,
-     * and some 100 ms; owners write at least once a second. */
+    /* Strong VMs replace a failed owner within the member's time to live,
+     * 1.3 s, and some 100 ms; owners write at least once a second. */
     QUIET_MS = 3000,
-    /* If no read was answered for so long, a VM cannot know whether an owner
-     * is active. */
+    /* If no read was answered for this long, a VM cannot determine whether an
+     * owner is active. */
     READ_AGE_MAX_MS = 2000,
     ANNOUNCE_TIMEOUT_MS = 900,
     ANNOUNCE_RETRY_MS = 700,
@@ -177,7 +178,7 @@
 no_owner_is_active(const struct owner_candidacy *candidacy,
                    struct timespec now)
 {
-    return cw_time_diff_ms(candidacy->owner_wrote_at, now) > QUIET_MS &&
+    return cw_time_diff_ms(candidacy->owner_record_read_at, now) > QUIET_MS &&
            cw_time_diff_ms(candidacy->reading_since, now) > QUIET_MS;
 }
 
--- a/src/owner/owner_candidates.c
+++ b/src/owner/owner_candidates.c
@@ -82,7 +82,8 @@
     return count >= max_tasks ? 0 : MIN(fits, max_tasks - count);
 }
 
-/* Negative if `x` is in a faster class than `y`, positive if in a slower one.
+/* Returns a negative number if `x` is in a faster class than `y`, a positive
+ * one if in a slower class.
  */
 static int
 compare_speed(const struct owner_target *x, const struct owner_target *y)
@@ -116,9 +117,9 @@
     return candidate->target->runs->len == 0;
 }
 
-/* For urgent work: the fastest workers first, as its objective is little
- * longer than the work takes; then workers in use, so that idle ones stay
- * whole for tasks that need a whole worker; then the fullest. */
+/* Orders workers for urgent work: the fastest first, as its objective is
+ * little longer than the work takes; then workers in use, so that idle ones
+ * stay whole for tasks that need a whole worker; then the fullest. */
 static gint
 by_speed(gconstpointer a, gconstpointer b)
 {
@@ -135,8 +136,8 @@
     return by_fullness(a, b);
 }
 
-/* For lower-priority work: racks and workers that have such runs first, so
- * that it occupies as few as possible, then the slowest. */
+/* Orders workers for lower-priority work: racks and workers that have such
+ * runs first, so that it occupies as few as possible, then the slowest. */
 static gint
 by_lower_priority_runs(gconstpointer a, gconstpointer b)
 {
@@ -159,8 +160,8 @@
     return by_fullness(a, b);
 }
 
-/* For suspects, which may crash their worker: workers with the lowest
- * neighbour weight first, as a crash there loses the least. */
+/* Orders workers for suspects, which may crash their worker: those with the
+ * lowest neighbour weight first, as a crash there loses the least. */
 static gint
 by_neighbour_weight(gconstpointer a, gconstpointer b)
 {
@@ -307,8 +308,8 @@
     return targets;
 }
 
-/* Returns how late the worker is used if nothing is withheld from the step; 0
- * first. */
+/* Returns the worker's position in the order of use if nothing is withheld
+ * from the step; 0: used first. */
 static unsigned
 withheld_level(const struct owner_target *target,
                const struct owner_step *step, struct timespec now)
--- a/src/owner/owner_commit.c
+++ b/src/owner/owner_commit.c
@@ -3,7 +3,7 @@
  *
  * The states of jobs go into a log of their own, which only a VM that takes
  * the shard over reads.  The outcome of a job, its state without its tasks, is
- * what callers query.  It goes into the log that all VMs read, beside the jobs
+ * what callers query.  It goes into the log that all VMs read, with the jobs
  * and their cancellations: a few bytes whenever it changes.  The two logs are
  * written concurrently.  Sending starts and confirming ends depends on the
  * state alone; a job is over once its outcome says so. */
@@ -29,7 +29,7 @@
 
 /* ---- states ---- */
 
-/* The job's new runs become durable with this batch. */
+/* Marks the job's new runs: they become durable with this batch. */
 static void
 mark_runs(const struct cw_owner *owner, struct owner_job *job)
 {
@@ -61,7 +61,7 @@
     owner_job_publish(owner, job);
     value = owner_job_encode(job);
     length = value->len;
-    owner_batch_add_job(batch, job->spec->id);
+    owner_batch_add_id(batch, job->spec->id);
     owner_batch_put(batch, cw_work_key(CW_WORK_KEY_RECORD, job->spec->id),
                     value);
     return length;
@@ -101,7 +101,8 @@
     g_ptr_array_set_size(owner->ends_sent, 0);
 }
 
-/* The batch that is sent next includes the effects of all applied ends. */
+/* Assigns all applied ends to the batch that is sent next, as it includes
+ * their effects. */
 static void
 collect_ends(struct cw_owner *owner)
 {
@@ -119,7 +120,7 @@
 on_states_stored(void *context, struct owner_batch *batch)
 {
     struct cw_owner *owner = context;
-    const GPtrArray *ids = owner_batch_jobs(batch);
+    const GPtrArray *ids = owner_batch_ids(batch);
 
     cw_count_latency(
         owner->options.counters, CW_LATENCY_COMMIT,
@@ -220,7 +221,7 @@
 on_outcomes_stored(void *context, struct owner_batch *batch)
 {
     struct cw_owner *owner = context;
-    const GPtrArray *ids = owner_batch_jobs(batch);
+    const GPtrArray *ids = owner_batch_ids(batch);
 
     for (guint i = 0; i < ids->len; i++) {
         struct owner_job *job =
@@ -232,8 +233,9 @@
     }
 }
 
-/* The outcome of a job that is over is written once: its position in the log,
- * before or after a cancellation, decides which of the two counts. */
+/* Adds a job's outcome to the batch.  The outcome of a job that is over is
+ * written once: its position in the log, before or after a cancellation,
+ * decides which of the two counts. */
 static size_t
 add_outcome(struct owner_batch *batch, struct owner_job *job)
 {
@@ -243,7 +245,7 @@
     job->unpublished = false;
     job->published_phase = job->phase;
     job->published_started = job->started;
-    owner_batch_add_job(batch, job->spec->id);
+    owner_batch_add_id(batch, job->spec->id);
     owner_batch_put(batch, cw_work_key(CW_WORK_KEY_RECORD, job->spec->id),
                     value);
     return length;
@@ -331,7 +333,8 @@
 
 /* ---- old jobs ---- */
 
-/* The outcome is dropped last: dropping it makes the VMs forget the job. */
+/* Drops the job's records.  The outcome is dropped last: a VM removes the job
+ * when it reads that. */
 static void
 drop_keys(struct owner_batch *batch, const struct cw_replica_job *job)
 {
--- a/src/owner/owner_cordons.c
+++ b/src/owner/owner_cordons.c
@@ -5,14 +5,16 @@
  * another VM.  Placement also excludes cordoned data centres, but it takes
  * place earlier, and a cordon may follow it.
  *
- * A cordon that this VM has not read yet cannot be obeyed.  So all starts wait
+ * This VM cannot apply a cordon that it has not read yet.  So all starts wait
  * if the operators' commands have not been read for nearly as long as a cordon
  * may take to become effective. */
 #include "owner/internal/owner_private.h"
 
 enum {
-    /* The part of that time which is left for a start in flight: its timeout,
-     * and as much again for a slow worker. */
+    /* Time for a start in flight, as part of the time that a cordon may take
+     * to become effective: the start's timeout, and the same again for a slow
+     * worker.
+     */
     START_IN_FLIGHT_MS = 1000,
     /* Interval of reads of the commands while starts wait. */
     READ_RETRY_MS = 100
--- a/src/owner/owner_crashes.c
+++ b/src/owner/owner_crashes.c
@@ -3,7 +3,7 @@
  * A task may crash each worker that starts it.  Without a limit it crashes one
  * worker after the other, and all other runs on them are lost.  So each crash
  * adds to the suspicion of the tasks that ran on the worker.  The suspicion is
- * part of the job's state, so that a new owner knows it; at a limit the job
+ * part of the job's state, so that a new owner reads it; at a limit the job
  * ends as failed.
  *
  * Most tasks on a crashed worker are not the cause of the crash, and a task
@@ -18,7 +18,7 @@
  * is cut off from this VM.  That is resolved when it answers again, or when
  * another incarnation answers at its address.  Until then a small suspicion is
  * added in advance to the tasks that had just been started there, so that it
- * survives a take-over, and the suspects among them are delayed for a limited
+ * survives a takeover, and the suspects among them are delayed for a limited
  * time.  If the worker was known only to an earlier owner and is not listed
  * any more, nothing can resolve the question, and it counts as crashed. */
 #include "owner/internal/owner_crashes.h"
@@ -32,16 +32,16 @@
     SUSPICION_PRESENT = 3,    /* it was on the worker */
     SUSPICION_UNCLEAR = 4, /* it had just been started, as had other jobs' */
     SUSPICION_SOLE_CAUSE = 6, /* only its job's tasks had just been started */
-    /* From here on the task is a suspect and is started apart from other runs:
-     * after one crash that it may have caused, or the second time that its
-     * worker crashed. */
+    /* From this suspicion on the task is a suspect and is started apart from
+     * other runs: after one crash that it may have caused, or the second time
+     * that its worker crashed. */
     SUSPECT_SUSPICION_MIN = SUSPICION_UNCLEAR,
-    /* From here on the task is given up: after four crashes at most.  The
-     * platform tolerates three crashes, and two more starts. */
+    /* From this suspicion on the task is given up: after four crashes at most.
+     * The platform tolerates three crashes, and two more starts. */
     SUSPICION_LIMIT = 2 * SUSPICION_SOLE_CAUSE,
     /* An endless task that has run for this long has not crashed its worker by
-     * its start, and earlier suspicion is dropped.  It is about three times
-     * the longest time that crashed workers were unavailable. */
+     * its start, and earlier suspicion is dropped.  This is about three times
+     * the longest unavailability of a crashed worker. */
     STEADY_MS = 10000,
     /* Longest delay of a suspect until its last worker has answered.  The
      * platform tolerates 3 s in which nothing of a job runs. */
@@ -49,11 +49,11 @@
     /* If this many workers become unresponsive within this time, the cause is
      * not a run that has made progress on one of them.  Of 118,760 jobs that
      * crash nothing, on emulated days with ten crashes of up to four workers
-     * each, 361 were given up without this rule and 316 with it. */
+     * each, 361 are given up without this rule and 316 with it. */
     MASS_CRASH_WINDOW_MS = 500,
     MASS_CRASH_WORKERS_MIN = 3,
     /* A worker whose next incarnation starts within this time was unresponsive
-     * because it crashed: crashed workers were unavailable for up to 3.4 s. */
+     * because it crashed: crashed workers are unavailable for up to 3.4 s. */
     CRASH_CERTAIN_MS = 4000
 };
 
@@ -67,7 +67,8 @@
     unsigned weight; /* in total, once the crash is confirmed */
     unsigned added_in_advance; /* part of `weight` that was added already */
     bool no_progress;
-    int64_t unresponsive_at_ms; /* when its worker became so, wall clock */
+    int64_t unresponsive_at_ms; /* wall-clock time when its worker became
+                                   unresponsive */
 };
 
 static void
@@ -98,7 +99,7 @@
 /* True if the run may have been on the worker when that crashed.  A start
  * whose only answer came from another incarnation has done nothing. */
 static bool
-may_have_been_there(const struct owner_run *run)
+may_have_been_on_worker(const struct owner_run *run)
 {
     if (run->gang_done || run->stop_confirmed) {
         return false;
@@ -111,7 +112,7 @@
 static bool
 shows_no_progress(const struct owner_run *run)
 {
-    return may_have_been_there(run) && run->phase != RUN_INHERITED &&
+    return may_have_been_on_worker(run) && run->phase != RUN_INHERITED &&
            run->percent == 0;
 }
 
@@ -152,10 +153,10 @@
     g_hash_table_iter_init(&iterator, target->owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct owner_target *other = value;
-        int64_t difference_ms = cw_time_diff_ms(target->unresponsive_since,
-                                                other->unresponsive_since);
+        int64_t difference_ms =
+            cw_time_diff_ms(target->unanswered_since, other->unanswered_since);
 
-        count += other->unresponsive_since.tv_sec > 0 &&
+        count += other->unanswered_since.tv_sec > 0 &&
                  ABS(difference_ms) < MASS_CRASH_WINDOW_MS;
     }
     return count >= MASS_CRASH_WORKERS_MIN;
@@ -164,7 +165,7 @@
 static unsigned
 suspicion_weight(const struct owner_run *run, struct timespec now)
 {
-    if (!may_have_been_there(run) || is_steady(run, now)) {
+    if (!may_have_been_on_worker(run) || is_steady(run, now)) {
         return 0;
     }
     if (run->phase == RUN_RUNNING && !shows_no_progress(run) &&
@@ -187,8 +188,8 @@
     const struct owner_target *target = run->target;
     struct timespec from = now;
 
-    if (cw_time_before(run->created_at, target->unresponsive_since)) {
-        from = target->unresponsive_since;
+    if (cw_time_before(run->created_at, target->unanswered_since)) {
+        from = target->unanswered_since;
     }
     return cw_clock_wall_ms(target->owner->options.clock) -
            cw_time_diff_ms(from, now);
@@ -373,7 +374,8 @@
     }
 }
 
-/* The same incarnation answers: it was only unresponsive. */
+/* Refutes the crash after the same incarnation has answered: it was only
+ * unresponsive. */
 static void
 refute_crash(struct cw_owner *owner, struct owner_target *target)
 {
@@ -409,8 +411,9 @@
 
 /* ---- incarnations at an address ---- */
 
-/* Another worker is listed at the address of one that is not listed any more:
- * the unlisted one is over, and its runs are lost before its lease expires. */
+/* Handles a worker at whose address another one is listed, while it is not
+ * listed any more itself: the unlisted one is over, and its runs are lost
+ * before its lease expires. */
 static void
 replaced_at_address(struct cw_owner *owner, struct owner_target *before,
                     const struct owner_target *present)
--- a/src/owner/owner_drain.c
+++ b/src/owner/owner_drain.c
@@ -1,10 +1,10 @@
 /* Draining workers: moves work that would be lost with them.
  *
- * A draining worker ends all its runs when it goes away.  The owner would
- * learn that they are lost only when the lease expires, seconds later.  So a
+ * A draining worker ends all its runs when it shuts down.  The owner would
+ * detect that they are lost only when the lease expires, seconds later.  So a
  * run with checkpoints that cannot end in time is stopped at once, which saves
- * its work.  Other runs stay: workers often remain for seconds, and stopping
- * also those runs that could not end in time gained nothing in a trial
+ * its work.  Other runs stay: workers often remain for seconds, and it is no
+ * gain to stop also those other runs that cannot end in time
  * (docs/PLATFORM.md). */
 #include "owner/internal/owner_private.h"
 
@@ -84,7 +84,7 @@
                 name.job, name.occurrence, name.step, name.index, run->number,
                 run->target->id, run->percent, time_to_end_ms(run),
                 cw_time_diff_ms(now, run->target->drain_until));
-    owner_run_evict_for(owner, run, OWNER_IDLE_EVACUATED);
+    owner_run_evict_for(owner, run, OWNER_IDLE_DRAINED);
 }
 
 void
--- a/src/owner/owner_endless.c
+++ b/src/owner/owner_endless.c
@@ -11,7 +11,7 @@
 }
 
 bool
-owner_endless_protects(const struct owner_run *run, GHashTable *leaving)
+owner_endless_protects(const struct owner_run *run, GHashTable *stopping_runs)
 {
     const struct owner_step *step = run->task->step;
     unsigned unavailable = 0;
@@ -24,9 +24,9 @@
         const struct owner_run *other = step->tasks[i].run;
 
         unavailable +=
-            other != run &&
-            (!is_in_service(other) ||
-             (leaving != NULL && g_hash_table_contains(leaving, other)));
+            other != run && (!is_in_service(other) ||
+                             (stopping_runs != NULL &&
+                              g_hash_table_contains(stopping_runs, other)));
     }
     return unavailable >= step->spec->may_miss;
 }
--- a/src/owner/owner_epochs.c
+++ b/src/owner/owner_epochs.c
@@ -1,30 +1,30 @@
-/* When the leases expire that earlier owners gave.
+/* Bounds on the leases that earlier owners granted.
  *
- * An owner may have been replaced without knowing it, and renews leases for
- * EXTEND_UNCONFIRMED_MAX_MS after the store last confirmed its ownership.  A
- * worker that does not answer the next owner may therefore go on working until
- * such a lease has expired.  That is the bound for an owner of which nothing
- * is known.  Records in the log of jobs lower it:
+ * An owner may have been replaced without having received that, and renews
+ * leases for EXTEND_UNCONFIRMED_MAX_MS after the store last confirmed its
+ * ownership.  A worker that does not answer the next owner may therefore
+ * execute its runs until such a lease has expired.  That is the bound for an
+ * owner without records.  Records in the log of jobs lower the bound:
  *
- * - An owner writes its epoch before it gives the first lease under it.
+ * - An owner writes its epoch before it grants the first lease under it.
  * - A VM that has lost ownership, or has restarted, writes that its last epoch
- *   has ended, and how long the leases it gave may still last.
- * - Once all leases of earlier owners have expired, the owner writes that as
- *   well: the epochs below its own are settled, and VMs that take over later
- *   need not consider them.
+ *   has ended, and how long the leases that it granted may still last.
+ * - Once all leases of earlier owners have expired, the owner writes that too:
+ *   the epochs below its own are settled, and VMs that take over later need
+ *   not consider them.
  */
 #include "owner/internal/owner_private.h"
 
 #include <string.h>
 
 enum {
-    /* Leases are renewed for so long without a new confirmation, so that work
-     * survives an outage of the store. */
+    /* Leases are renewed for this long without a new confirmation, so that
+     * work survives an outage of the store. */
     EXTEND_UNCONFIRMED_MAX_MS = 6000,
     APPEND_TIMEOUT_MS = 900,
     RETRY_MS = 300,
-    /* Workers listed in a record, at some 30 bytes each. */
-    SOONER_ROWS_MAX = 500
+    /* Limit on the workers listed in a record, at some 30 bytes each. */
+    SHORTER_LEASES_MAX = 500
 };
 
 /* An append in flight; it may outlive the owner. */
@@ -35,28 +35,29 @@
 
 struct owner_epochs {
     struct timespec vm_started_at;
-    /* Leases that this VM gave under epochs that have ended.  Until this VM
-     * knows whether an earlier process of it gave leases, it assumes one that
-     * was given just before the present process started. */
-    uint64_t given_epoch;        /* the last of those epochs; 0 none */
-    struct timespec given_until; /* the latest end of lease of any worker */
-    GHashTable *sooner;          /* worker -> struct timespec: its own end of
-                                    lease, where it is earlier */
-    bool end_unwritten;          /* the log does not have the end yet */
-    struct call *call;           /* that writes it, or NULL */
+    /* Leases that this VM granted under epochs that have ended.  Until this VM
+     * has read whether an earlier process of it granted leases, it assumes one
+     * that was granted just before the present process started. */
+    uint64_t granted_epoch;        /* the last of those epochs; 0 none */
+    struct timespec granted_until; /* the latest end of any worker's lease */
+    GHashTable *shorter_leases; /* worker -> struct timespec: end of its lease,
+                                   if earlier than that */
+    bool end_unwritten; /* the end of that epoch is not in the log yet */
+    struct call *call;  /* append that writes the end, or NULL */
     struct timespec due;
     /* While this VM takes over or is the owner. */
     bool begin_sent;   /* the record of its epoch may be in the log */
-    bool begin_stored; /* it is in the log */
-    bool settled_sent; /* the record that earlier epochs are settled */
+    bool begin_stored; /* that record is in the log */
+    /* The record that earlier epochs are settled was sent. */
+    bool settled_sent;
     struct timespec active_since;
     struct timespec settle_due; /* when earlier owners' leases have expired */
 };
 
-/* How long a lease may last, by this VM's clock, after the last order that
- * gave it was sent. */
+/* Returns how long a lease may last, by this VM's clock, after the last order
+ * that granted it was sent. */
 static int64_t
-lasts_ms(int64_t lease_ms)
+lease_max_duration_ms(int64_t lease_ms)
 {
     return owner_with_drift_ms(lease_ms) + OWNER_ORDER_DELAY_MAX_MS;
 }
@@ -80,9 +81,9 @@
     return false;
 }
 
-/* The longest lease that this owner gives. */
+/* Returns the longest lease that this owner grants. */
 static int64_t
-longest_given_ms(const struct cw_owner *owner)
+longest_granted_ms(const struct cw_owner *owner)
 {
     return any_worker_reports_boot(owner) ? owner->options.lease_ms
                                           : owner_lease_max_granted_ms(owner);
@@ -95,9 +96,9 @@
 
     /* An earlier process of this VM ended before this one began. */
     epochs->vm_started_at = owner_now(owner);
-    epochs->given_until = cw_time_add_ms(epochs->vm_started_at,
-                                         lasts_ms(owner->options.lease_ms));
-    epochs->sooner =
+    epochs->granted_until = cw_time_add_ms(
+        epochs->vm_started_at, lease_max_duration_ms(owner->options.lease_ms));
+    epochs->shorter_leases =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return epochs;
 }
@@ -108,7 +109,7 @@
     if (epochs->call != NULL) {
         epochs->call->epochs = NULL;
     }
-    g_hash_table_unref(epochs->sooner);
+    g_hash_table_unref(epochs->shorter_leases);
     g_free(epochs);
 }
 
@@ -122,8 +123,8 @@
 
 /* ---- leases of earlier owners ---- */
 
-/* The highest epoch of which is known that all leases given under lower ones
- * have expired; 0: none. */
+/* Returns the highest epoch that was recorded as settled: all leases granted
+ * under lower ones have expired; 0: none. */
 static uint64_t
 settled_below(const struct cw_owner *owner)
 {
@@ -141,16 +142,18 @@
     return highest;
 }
 
-/* When the leases expire of an earlier owner that may not know yet that it was
- * replaced. */
+/* Returns when the leases expire of an earlier owner that may not have
+ * detected yet that it was replaced. */
 static struct timespec
 end_of_open(const struct cw_owner *owner, int64_t lease_ms)
 {
     return cw_time_add_ms(owner->epochs->active_since,
-                          EXTEND_UNCONFIRMED_MAX_MS + lasts_ms(lease_ms));
+                          EXTEND_UNCONFIRMED_MAX_MS +
+                              lease_max_duration_ms(lease_ms));
 }
 
-/* When a lease expires that another VM gave the worker; NULL: any worker. */
+/* Returns when a lease expires that another VM granted to the worker; NULL:
+ * any worker. */
 static struct timespec
 end_of_other(const struct cw_owner *owner,
              const struct cw_replica_epoch *epoch, const char *worker)
@@ -162,14 +165,15 @@
         epoch->end_read_at, cw_replica_epoch_lease_left_ms(epoch, worker));
 }
 
-/* The same for leases that this VM gave before its present epoch. */
+/* Does the same for leases that this VM granted before its present epoch. */
 static struct timespec
 end_of_own(const struct owner_epochs *epochs, const char *worker)
 {
     const struct timespec *end =
-        worker != NULL ? g_hash_table_lookup(epochs->sooner, worker) : NULL;
+        worker != NULL ? g_hash_table_lookup(epochs->shorter_leases, worker)
+                       : NULL;
 
-    return end != NULL ? *end : epochs->given_until;
+    return end != NULL ? *end : epochs->granted_until;
 }
 
 static void
@@ -180,8 +184,8 @@
     }
 }
 
-/* When all leases have expired that earlier owners gave the worker; NULL: any
- * worker. */
+/* Returns when all leases have expired that earlier owners granted to the
+ * worker; NULL: any worker. */
 static struct timespec
 end_of_earlier(const struct cw_owner *owner, const char *worker)
 {
@@ -273,7 +277,7 @@
     struct cw_epoch_record record = {.epoch = owner->epoch,
                                      .settled_below = settled,
                                      .lease_ms =
-                                         (unsigned)longest_given_ms(owner)};
+                                         (unsigned)longest_granted_ms(owner)};
     struct owner_batch *batch = owner_batch_new(stored, owner);
 
     owner_batch_put(batch, cw_work_key(CW_WORK_KEY_EPOCH, owner->vm),
@@ -349,8 +353,8 @@
 
 /* ---- after ownership ended ---- */
 
-/* When the worker's lease expires.  An order in flight to a worker that
- * answers may reach its next incarnation and give that a lease. */
+/* Returns when the worker's lease expires.  An order in flight to a worker
+ * that answers may reach its next incarnation and grant a lease to that. */
 static struct timespec
 end_of_current(const struct owner_target *target)
 {
@@ -359,11 +363,12 @@
                : cw_time_add_ms(target->lease_end, OWNER_ORDER_DELAY_MAX_MS);
 }
 
-/* Collects workers whose leases expire before the latest.  Workers without
- * runs are included: an end may have been listed to this VM and not be stored,
- * so that the next owner still knows the run. */
+/* Collects the leases that expire before the latest one, of unresponsive or of
+ * other workers.  Workers without runs are included: an end may have been
+ * listed to this VM and not be stored, so that the next owner still has the
+ * run in its state. */
 static void
-collect_sooner(struct cw_owner *owner, bool unresponsive)
+collect_shorter_leases(struct cw_owner *owner, bool unresponsive)
 {
     struct owner_epochs *epochs = owner->epochs;
     GHashTableIter iterator;
@@ -371,16 +376,16 @@
 
     g_hash_table_iter_init(&iterator, owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value) &&
-           g_hash_table_size(epochs->sooner) < SOONER_ROWS_MAX)
+           g_hash_table_size(epochs->shorter_leases) < SHORTER_LEASES_MAX)
     {
         const struct owner_target *target = value;
         struct timespec end = end_of_current(target);
 
         if ((target->unanswered_polls > 0) == unresponsive &&
             target->lease_end.tv_sec > 0 &&
-            cw_time_before(end, epochs->given_until))
+            cw_time_before(end, epochs->granted_until))
         {
-            g_hash_table_insert(epochs->sooner, g_strdup(target->id),
+            g_hash_table_insert(epochs->shorter_leases, g_strdup(target->id),
                                 g_memdup2(&end, sizeof(end)));
         }
     }
@@ -395,18 +400,20 @@
         return;
     }
     epochs->begin_sent = false;
-    epochs->given_epoch = owner->epoch;
+    epochs->granted_epoch = owner->epoch;
     epochs->end_unwritten = true;
     if (owner->state == OWNER_ACTIVE) {
-        epochs->given_until = cw_time_add_ms(
-            owner_now(owner), lasts_ms(longest_given_ms(owner)));
-        g_hash_table_remove_all(epochs->sooner);
-        collect_sooner(owner, true);
-        collect_sooner(owner, false);
+        epochs->granted_until =
+            cw_time_add_ms(owner_now(owner),
+                           lease_max_duration_ms(longest_granted_ms(owner)));
+        g_hash_table_remove_all(epochs->shorter_leases);
+        collect_shorter_leases(owner, true);
+        collect_shorter_leases(owner, false);
     }
 }
 
-/* Takes up an epoch that an earlier process of this VM left in the log. */
+/* Adopts an epoch that an earlier process of this VM has recorded without its
+ * end. */
 static void
 adopt_former_epoch(struct cw_owner *owner)
 {
@@ -415,11 +422,11 @@
         cw_replica_epochs(owner->options.replica), owner->vm);
 
     if (own != NULL && !epochs->begin_sent &&
-        !cw_replica_epoch_has_ended(own) && own->epoch > epochs->given_epoch)
+        !cw_replica_epoch_has_ended(own) && own->epoch > epochs->granted_epoch)
     {
-        epochs->given_epoch = own->epoch;
-        epochs->given_until =
-            cw_time_add_ms(epochs->vm_started_at, lasts_ms(own->lease_ms));
+        epochs->granted_epoch = own->epoch;
+        epochs->granted_until = cw_time_add_ms(
+            epochs->vm_started_at, lease_max_duration_ms(own->lease_ms));
         epochs->end_unwritten = true;
     }
 }
@@ -434,15 +441,15 @@
 encode_end(const struct owner_epochs *epochs, struct timespec now)
 {
     struct cw_epoch_end_record record = {
-        .epoch = epochs->given_epoch,
-        .left_ms = left_until_ms(now, epochs->given_until)};
+        .epoch = epochs->granted_epoch,
+        .left_ms = left_until_ms(now, epochs->granted_until)};
     GArray *rows = g_array_new(FALSE, FALSE, sizeof(struct cw_lease_left));
     GHashTableIter iterator;
     gpointer worker;
     gpointer value;
     GByteArray *bytes;
 
-    g_hash_table_iter_init(&iterator, epochs->sooner);
+    g_hash_table_iter_init(&iterator, epochs->shorter_leases);
     while (g_hash_table_iter_next(&iterator, &worker, &value)) {
         const struct timespec *end = value;
         struct cw_lease_left row = {.worker = worker,
@@ -466,7 +473,7 @@
     if (epochs != NULL) {
         epochs->call = NULL;
         if (result->status == CW_STORE_OK &&
-            call->epoch == epochs->given_epoch) {
+            call->epoch == epochs->granted_epoch) {
             epochs->end_unwritten = false;
             cw_log_info("epoch_ended", "epoch=%" PRIu64 " offset=%" PRIu64,
                         call->epoch, result->first);
@@ -493,7 +500,7 @@
                                      .context = call};
 
     call->epochs = epochs;
-    call->epoch = epochs->given_epoch;
+    call->epoch = epochs->granted_epoch;
     epochs->call = call;
     owner->options.store->ops->append(owner->options.store, &append);
     g_byte_array_unref(bytes);
--- a/src/owner/owner_gang_dcs.c
+++ b/src/owner/owner_gang_dcs.c
@@ -7,7 +7,7 @@
 #include "owner/internal/owner_candidates.h"
 #include "owner/internal/owner_placement.h"
 
-/* What a data centre would give a gang. */
+/* Capacity of a data centre for a gang. */
 struct dc_offer {
     const char *dc;
     unsigned fits;       /* tasks that fit on all its candidates */
--- a/src/owner/owner_group.c
+++ b/src/owner/owner_group.c
@@ -2,8 +2,8 @@
 #include "owner/internal/owner_private.h"
 
 enum {
-    /* Joins are repeated so many times in the member's time to live: several
-     * calls lost in a row do not lose the shard. */
+    /* Number of joins in the member's time to live: the loss of several
+     * successive calls does not lose the shard. */
     JOINS_PER_TTL = 5,
     JOIN_TIMEOUT_MS = 700
 };
@@ -19,9 +19,9 @@
     return false;
 }
 
-/* Another VM is to own the shard.  This one continues until the other has
- * fenced it, so that there is no time without an owner, or until its last
- * confirmation is too old. */
+/* Yields the shard to another VM.  This VM remains the owner until the next
+ * one has fenced it, so that there is no time without an owner, or until its
+ * own last confirmation is too old. */
 static void
 yield(struct cw_owner *owner, const char *reason)
 {
@@ -35,8 +35,8 @@
 }
 
 /* True if membership confirms ownership.  A member that the store received no
- * join from for its time to live may have lost the shard and got it back
- * meanwhile: then only an append that the store accepts under the epoch
+ * join from for its time to live may have lost the shard and received it again
+ * in between: then only an append that the store accepts under the epoch
  * confirms ownership. */
 static bool
 join_confirms_ownership(const struct cw_owner *owner, struct timespec now)
@@ -47,8 +47,8 @@
 }
 
 static void
-take_join(struct cw_owner *owner, const struct cw_store_join_result *result,
-          struct timespec now)
+apply_join(struct cw_owner *owner, const struct cw_store_join_result *result,
+           struct timespec now)
 {
     bool has = has_partition(result, owner->options.partition);
 
@@ -81,7 +81,7 @@
     owner->join_due = cw_time_add_ms(
         owner->join_sent, owner->options.member_ttl_ms / JOINS_PER_TTL);
     if (result->status == CW_STORE_OK && !owner->leaving) {
-        take_join(owner, result, now);
+        apply_join(owner, result, now);
     }
 }
 
@@ -116,7 +116,8 @@
     cw_log_info("group_left", "status=%s", cw_store_status_name(status));
 }
 
-/* If this call is lost, the group drops the member after its time to live. */
+/* Leaves the group.  If this call is lost, the group drops the member after
+ * its time to live. */
 static void
 send_leave(struct cw_owner *owner, const char *reason)
 {
--- a/src/owner/owner_headroom.c
+++ b/src/owner/owner_headroom.c
@@ -3,8 +3,8 @@
  * Urgent tasks last seconds, and waiting until other runs have been stopped
  * takes as long as their objective allows.  So lower-priority work is packed
  * onto as few workers as it needs, and its number of workers is limited so
- * that there is free capacity for what urgent work used lately and for what
- * may arrive before other runs can be stopped.
+ * that there is free capacity for the urgent work of the recent past and for
+ * the urgent work that may arrive before other runs can be stopped.
  *
  * src/placement/headroom.c forecasts how much that is. */
 #include "owner/internal/owner_placement.h"
@@ -12,15 +12,16 @@
 #include <string.h>
 
 enum {
-    /* If less than this part of the accelerators is in use, headroom does not
-     * apply to a job that has no run and has waited for EXEMPT_AFTER_MS. */
+    /* If less than this percentage of the accelerators is in use, headroom
+     * does not apply to a job that has no run and has waited for
+     * EXEMPT_AFTER_MS. */
     MOSTLY_IDLE_BELOW_PERCENT = 60,
     EXEMPT_AFTER_MS = 1500,
     PERCENT = 100
 };
 
 /* Totals over a service's workers. */
-struct census {
+struct service_totals {
     struct owner_headroom *headroom;
     unsigned workers;
     unsigned lower_priority_workers; /* those with lower-priority runs */
@@ -46,23 +47,24 @@
 }
 
 static void
-census_add(struct census *census, const struct owner_target *target)
+service_totals_add(struct service_totals *totals,
+                   const struct owner_target *target)
 {
-    census->workers++;
-    census->accelerators += target->capacity.accelerators;
-    census->lower_priority_workers += target->lower_priority_runs > 0;
+    totals->workers++;
+    totals->accelerators += target->capacity.accelerators;
+    totals->lower_priority_workers += target->lower_priority_runs > 0;
     for (guint i = 0; i < target->runs->len; i++) {
         const struct owner_run *run = target->runs->pdata[i];
 
-        census->used += run->task->step->spec->accelerators;
+        totals->used += run->task->step->spec->accelerators;
         if (run->stopping) {
-            census->stopping += run->task->step->spec->accelerators;
+            totals->stopping += run->task->step->spec->accelerators;
         }
         else if (run->headroom_borrowed) {
-            census->headroom_borrowed += run->task->step->spec->accelerators;
+            totals->headroom_borrowed += run->task->step->spec->accelerators;
         }
         if (owner_task_job(run->task)->spec->priority == 0) {
-            census->urgent += run->task->step->spec->accelerators;
+            totals->urgent += run->task->step->spec->accelerators;
         }
     }
 }
@@ -70,8 +72,8 @@
 /* Returns how many workers no guarantee covers: lower-priority work may use
  * these whatever urgent work requests. */
 static unsigned
-unguaranteed_workers(const struct cw_owner *owner, const struct census *census,
-                     double per_worker)
+unguaranteed_workers(const struct cw_owner *owner,
+                     const struct service_totals *totals, double per_worker)
 {
     double guaranteed = 0;
 
@@ -83,37 +85,37 @@
         guaranteed += account->guaranteed_accelerators;
     }
     guaranteed /= per_worker;
-    return guaranteed < census->workers
-               ? census->workers - (unsigned)guaranteed
+    return guaranteed < totals->workers
+               ? totals->workers - (unsigned)guaranteed
                : 0;
 }
 
 /* Sets how many workers may have lower-priority runs. */
 static void
-set_limit(const struct cw_owner *owner, const struct census *census,
+set_limit(const struct cw_owner *owner, const struct service_totals *totals,
           struct timespec now)
 {
-    struct owner_headroom *headroom = census->headroom;
-    double per_worker = (double)census->accelerators / MAX(1, census->workers);
+    struct owner_headroom *headroom = totals->headroom;
+    double per_worker = (double)totals->accelerators / MAX(1, totals->workers);
     double reserved;
 
-    cw_headroom_observe(&headroom->forecast, (double)census->urgent, now);
-    headroom->lower_priority_workers = census->lower_priority_workers;
-    headroom->free = census->accelerators - census->used + census->stopping;
-    headroom->headroom_borrowed = census->headroom_borrowed;
-    headroom->mostly_idle = census->used * PERCENT <
-                            census->accelerators * MOSTLY_IDLE_BELOW_PERCENT;
+    cw_headroom_observe(&headroom->forecast, (double)totals->urgent, now);
+    headroom->lower_priority_workers = totals->lower_priority_workers;
+    headroom->free = totals->accelerators - totals->used + totals->stopping;
+    headroom->headroom_borrowed = totals->headroom_borrowed;
+    headroom->mostly_idle = totals->used * PERCENT <
+                            totals->accelerators * MOSTLY_IDLE_BELOW_PERCENT;
     if (per_worker <= 0) {
         headroom->max_lower_priority_workers =
-            census->workers; /* no accelerators to reserve */
+            totals->workers; /* no accelerators to reserve */
         return;
     }
     reserved = cw_headroom_reserved(&headroom->forecast) / per_worker;
     headroom->max_lower_priority_workers =
-        reserved < census->workers ? census->workers - (unsigned)reserved : 0;
+        reserved < totals->workers ? totals->workers - (unsigned)reserved : 0;
     headroom->max_lower_priority_workers =
         MAX(headroom->max_lower_priority_workers,
-            unguaranteed_workers(owner, census, per_worker));
+            unguaranteed_workers(owner, totals, per_worker));
 }
 
 void
@@ -150,18 +152,18 @@
     g_hash_table_iter_init(&iterator, owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct owner_target *target = value;
-        struct census *census;
+        struct service_totals *totals;
 
         if (!accepts_work(target)) {
             continue;
         }
-        census = g_hash_table_lookup(services, target->service);
-        if (census == NULL) {
-            census = g_new0(struct census, 1);
-            census->headroom = headroom_of(owner, target->service);
-            g_hash_table_insert(services, (gpointer)target->service, census);
+        totals = g_hash_table_lookup(services, target->service);
+        if (totals == NULL) {
+            totals = g_new0(struct service_totals, 1);
+            totals->headroom = headroom_of(owner, target->service);
+            g_hash_table_insert(services, (gpointer)target->service, totals);
         }
-        census_add(census, target);
+        service_totals_add(totals, target);
     }
     g_hash_table_iter_init(&iterator, services);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
--- a/src/owner/owner_headroom_reclaim.c
+++ b/src/owner/owner_headroom_reclaim.c
@@ -3,11 +3,11 @@
  * Jobs that have been idle for too long are placed in the headroom for urgent
  * work (owner_starvation.c).  Once less is free than urgent work will request
  * during the time that it takes to stop runs, such runs are stopped, the
- * cheapest first, so that urgent work need not wait for that. */
+ * cheapest first, so that urgent work need not wait until they have ended. */
 #include "owner/internal/owner_placement.h"
 
 enum {
-    /* A run that borrows headroom has been running for so long before it is
+    /* Minimum time for which a run that borrows headroom runs before it is
      * stopped here.  Preemption may stop it earlier. */
     RUN_MIN_MS = 300
 };
--- a/src/owner/owner_hints.c
+++ b/src/owner/owner_hints.c
@@ -3,11 +3,11 @@
  *
  * An owner that is disconnected from the store continues to poll workers, but
  * loses the ends that they list when it loses ownership.  If a worker has shut
- * down by then, no other VM can learn of them, and the tasks run a second time
- * once the worker's lease has expired.  Such ends are therefore appended to
- * the log of jobs as soon as the store can be reached; any VM may do that. The
- * number of a run is never reused, so that a hint stays valid whenever it is
- * read. */
+ * down by then, no other VM can receive these ends, and the tasks run a second
+ * time once the worker's lease has expired.  Such ends are therefore appended
+ * to the log of jobs as soon as the store can be reached; any VM may do that.
+ * The number of a run is never reused, so that a hint stays valid whenever it
+ * is read. */
 #include "owner/internal/owner_private.h"
 
 #include <string.h>
@@ -112,10 +112,10 @@
     drop_old(&owner->hints->applied, end->applied_at);
 }
 
-/* True if the next owner learns of the end without a hint: it is stored, or
- * its worker is not about to leave and lists the end until it is stored.  All
- * VMs read hints, so that thousands of ends after an outage must not become
- * hints. */
+/* True if the next owner receives the end without a hint: the end is stored,
+ * or its worker is not draining and lists the end until it is stored.  All VMs
+ * read hints, so that thousands of ends after an outage must not become hints.
+ */
 static bool
 needs_no_hint(const struct cw_owner *owner, const struct end *end)
 {
--- a/src/owner/owner_idle.c
+++ b/src/owner/owner_idle.c
@@ -1,11 +1,12 @@
 /* Idle jobs: detects work that could run and does not, whatever the cause.
  *
- * The check uses only what is visible from outside.  A step is unblocked, no
- * worker has listed a run of the job for seconds, and by what workers have
- * confirmed either most of the service's capacity is free, or the smallest
- * part of the job that can run (a task, or its gang) would fit twice.  What
- * the owner assumes about the job (a placement, an order in flight, a lease to
- * wait for, reserved capacity) is only logged as the reason.
+ * The check uses only facts that are visible outside the owner.  A step is
+ * unblocked, no worker has listed a run of the job for seconds, and according
+ * to the workers' confirmations either most of the service's capacity is free,
+ * or the smallest part of the job that can run (a task, or its gang) would fit
+ * twice.  What the owner assumes about the job (a placement, an order in
+ * flight, a lease to wait for, reserved capacity) is only logged as the
+ * reason.
  *
  * A task that loses one run after another makes no progress either, although
  * it is running at each check; such tasks are counted as repeating. */
@@ -14,21 +15,21 @@
 #include "owner/internal/owner_spare.h"
 
 enum {
-    /* The platform tolerates 3 s in which no task of a job runs, */
+    /* The platform tolerates 3 s in which no task of a job runs. */
     IDLE_MAX_MS = 3000,
-    /* and 6 s after the last run of an endless task, whether other tasks of
-     * its job run or not. */
+    /* The platform tolerates 6 s after the last run of an endless task,
+     * whether other tasks of its job run or not. */
     ENDLESS_IDLE_MAX_MS = 6000,
     CHECK_INTERVAL_MS = 250,
     LOG_INTERVAL_MS = 3000,
-    /* Limit on the jobs that one check logs; the statistics are of all. */
+    /* Limit on the jobs that one check logs; the statistics cover all jobs. */
     LOGGED_MAX = 8,
-    /* Lost runs in a row from which on a task counts as repeating; two may be
-     * a coincidence. */
+    /* A task that has lost this many runs in a row counts as repeating; two
+     * may be a coincidence. */
     REPEATING_FROM = 3
 };
 
-/* Capacity of a service's workers, and what runs there use as reported. */
+/* Capacity of a service's workers, and the part that runs use as reported. */
 struct service_load {
     struct cw_resources capacity;
     struct cw_resources used;
@@ -60,7 +61,7 @@
         [OWNER_IDLE_NONE] = "",
         [OWNER_IDLE_MOVED] = "moved",
         [OWNER_IDLE_STALLED] = "stalled",
-        [OWNER_IDLE_EVACUATED] = "evacuated",
+        [OWNER_IDLE_DRAINED] = "evacuated",
         [OWNER_IDLE_UNANSWERED] = "unanswered",
         [OWNER_IDLE_PREEMPTED] = "reclaimed",
         [OWNER_IDLE_LOST] = "lost",
@@ -168,7 +169,8 @@
     return NULL;
 }
 
-/* Returns why the step does not run, as far as the owner knows, for the log.
+/* Returns why the step does not run according to the owner's state, for the
+ * log.
  */
 static const char *
 reason_of(const struct cw_owner *owner, const struct owner_step *step,
@@ -224,8 +226,8 @@
         fit->tasks, fit->by_blocker[OWNER_BLOCKER_UNCONFIRMED],
         fit->by_blocker[OWNER_BLOCKER_AVOIDED],
         fit->by_blocker[OWNER_BLOCKER_RACK],
-        fit->by_blocker[OWNER_BLOCKER_HEADROOM], owner->order_window.in_flight,
-        owner->order_window.max_in_flight);
+        fit->by_blocker[OWNER_BLOCKER_HEADROOM],
+        owner->order_window.outstanding, owner->order_window.max_outstanding);
     g_free(worker);
 }
 
@@ -278,7 +280,7 @@
         .waited_ms = cw_time_diff_ms(job->idle.clock.since, check->now)};
     int64_t tolerated_ms = IDLE_MAX_MS;
 
-    count_repeating(&check->owner->waits, job);
+    count_repeating(&check->owner->idle_stats, job);
     if (waiting.step != NULL && waiting.step->spec->endless &&
         waiting.waited_ms <= IDLE_MAX_MS)
     {
@@ -294,7 +296,7 @@
 static void
 check_job(struct check *check, const struct waiting *waiting)
 {
-    struct owner_idle_stats *stats = &check->owner->waits;
+    struct owner_idle_stats *stats = &check->owner->idle_stats;
     struct owner_job *job = waiting->step->occurrence->job;
 
     bool has_capacity = owner_spare_fits_twice(check->spare, waiting->step) ||
@@ -353,10 +355,10 @@
     GHashTableIter iterator;
     gpointer value;
 
-    if (cw_time_before(now, owner->waits.due)) {
+    if (cw_time_before(now, owner->idle_stats.due)) {
         return;
     }
-    owner->waits = (struct owner_idle_stats){
+    owner->idle_stats = (struct owner_idle_stats){
         .due = cw_time_add_ms(now, CHECK_INTERVAL_MS)};
     if (!owner_may_order(owner, now)) {
         return; /* another VM may be the owner and have run the jobs */
--- a/src/owner/owner_incarnations.c
+++ b/src/owner/owner_incarnations.c
@@ -1,13 +1,13 @@
 /* Incarnations of workers under one id.
  *
  * A worker that crashes may start again under the same id.  It then has no
- * runs and no memory of its former incarnation: the numbers of its ends start
- * again at 1, its clock may differ, and it knows neither the fencing token nor
+ * runs and no state of its former incarnation: the numbers of its ends start
+ * again at 1, its clock may differ, and it has neither the fencing token nor
  * the stops that it had received.  The boot time in its answers to polls, not
- * its id, tells which incarnation such values belong to.  A report in the
- * store contains the boot time as well, but may be read before or after the
- * answer to a poll.  So a report only makes a poll due, or ends the wait for a
- * worker that does not answer.
+ * its id, identifies the incarnation that such values belong to.  A report in
+ * the store contains the boot time as well, but may be read before or after
+ * the answer to a poll.  So a report only makes a poll due, or ends the wait
+ * for a worker that does not answer.
  */
 #include "owner/internal/owner_crashes.h"
 
@@ -25,11 +25,11 @@
     return run->boot_ms > 0 && boot_ms > 0 && run->boot_ms != boot_ms;
 }
 
-/* Stops that the former incarnation has confirmed are unknown to the new one,
- * which would carry out a start that is still in flight.  They are sent
- * again. */
+/* Marks all stops as unconfirmed, so that they are sent again: the new
+ * incarnation does not have the stops that the former one has confirmed, and
+ * would carry out a start that is still in flight. */
 static void
-forget_stops(struct owner_target *target)
+clear_confirmed_stops(struct owner_target *target)
 {
     for (guint i = 0; i < target->runs->len; i++) {
         ((struct owner_run *)target->runs->pdata[i])->stop_confirmed = false;
@@ -52,9 +52,9 @@
     }
 }
 
-/* Orders that were sent to the former incarnation may have granted the new one
- * a lease by the former clock: it may be as long as the longest lease that
- * workers accept. */
+/* Raises the bound on the lease: orders that were sent to the former
+ * incarnation may have granted the new one a lease by the former clock, which
+ * may be as long as the longest lease that workers accept. */
 static void
 raise_lease_bound(struct owner_target *target, struct timespec now)
 {
@@ -85,7 +85,7 @@
                 target->incarnation.ends_confirmed, target->draining);
     cw_count_add(owner->options.counters, CW_COUNT_RESTARTS, 1);
     target->incarnation = owner_incarnation_new(boot_ms);
-    forget_stops(target);
+    clear_confirmed_stops(target);
     stop_at_most_once_starts(target);
     raise_lease_bound(target, owner_now(owner));
     owner->capacity_version++;
@@ -129,7 +129,7 @@
  * incarnation has answered.  A later start may have reached the next
  * incarnation. */
 static bool
-was_at_work(const struct owner_run *run)
+was_executing(const struct owner_run *run)
 {
     const struct owner_target *target = run->target;
 
@@ -150,12 +150,12 @@
         return;
     }
     for (guint k = 0; k < target->runs->len; k++) {
-        if (was_at_work(target->runs->pdata[k])) {
+        if (was_executing(target->runs->pdata[k])) {
             owner_crashes_collect(target->runs->pdata[k], owner_now(owner));
         }
     }
     while (i < target->runs->len) {
-        if (was_at_work(target->runs->pdata[i])) {
+        if (was_executing(target->runs->pdata[i])) {
             owner_run_lost(owner, target->runs->pdata[i], true, "other_life");
             i = 0; /* other runs of its gang may have been dropped as well */
         }
--- a/src/owner/owner_jobs.c
+++ b/src/owner/owner_jobs.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 enum {
-    /* Occurrences are opened a little late rather than early, as the clocks of
-     * two VMs differ by a few milliseconds. */
+    /* Occurrences are opened this late, as the clocks of two VMs differ by a
+     * few milliseconds, and none may be opened early. */
     DUE_DELAY_MS = 30,
     MILLI = 1000
 };
@@ -113,8 +113,8 @@
 owner_job_start_confirmed(struct cw_owner *owner, struct owner_job *job,
                           const struct owner_target *target)
 {
-    if (!job->begun) {
-        job->begun = true;
+    if (!job->start_confirmed) {
+        job->start_confirmed = true;
         cw_count_latency(owner->options.counters, CW_LATENCY_BEGUN,
                          cw_time_diff_ms(job->known_at, owner_now(owner)));
     }
@@ -122,7 +122,7 @@
         owner_job_add_placement(job, target->id, target->dc, 1);
     }
     if (job->spec->once) {
-        /* A later owner has to know that the job may have worked. */
+        /* A later owner has to read that the job may have worked. */
         owner_job_mark_dirty(owner, job);
     }
 }
@@ -211,7 +211,7 @@
 stored_state_of(const struct cw_owner *owner,
                 const struct cw_replica_job *entry)
 {
-    GBytes *state = owner_state_reader_find(owner->stored, entry->id);
+    GBytes *state = owner_state_reader_find(owner->state_reader, entry->id);
 
     return state != NULL ? state : entry->record;
 }
--- a/src/owner/owner_lease_notes.c
+++ b/src/owner/owner_lease_notes.c
@@ -1,27 +1,29 @@
-/* Lease notes: records in the log that all VMs read, of workers whose leases
- * the owner no longer extends.  A VM that takes over does not have to wait for
- * the runs of such a worker from the beginning.
+/* Lease notes: records in the log of jobs, which all VMs read, that name
+ * workers whose leases the owner no longer extends.  A VM that takes over
+ * waits for the end of such a lease only until the bound in its note, not for
+ * a full lease from the takeover on.
  *
- * - A note contains the owner's own bound, `lease_end`, which includes what
- *   earlier owners may still extend.
- * - From when a note is put into a batch until the record that drops it is
- *   known to be stored, the worker's lease is extended neither by polls nor by
- *   starts, and nothing is placed on the worker (owner_lease_grant, must_wait,
- *   owner_target_reachable, owner_polls.c).  A VM that takes over applies the
- *   same rule to the notes that it has read.
+ * - A note contains the owner's own bound, `lease_end`, which covers leases
+ *   that earlier owners may still extend.
+ * - From the time when a note is put into a batch until the record that drops
+ *   it is known to be stored, the worker's lease is extended neither by polls
+ *   nor by starts, and nothing is placed on the worker (owner_lease_grant,
+ *   must_wait, owner_target_reachable, owner_polls.c).  A VM that takes over
+ *   applies the same rule to the notes that it has read.
  * - A VM becomes active only after it has read all that was written before it
- *   fenced earlier owners: it has read the record that dropped a note before
- *   the lease was extended.
- * - Each VM counts a note's remaining time from when it read the note,
- *   which is later than when the note was written.  So notes are written again
- *   as time passes: a VM that was cut off and takes over again waits at most
+ *   fenced earlier owners.  So if an earlier owner has extended a lease after
+ *   it had dropped the note, this VM has read the record that dropped the
+ *   note.
+ * - Each VM counts a note's remaining time from when it read the note, which
+ *   is later than when the note was written.  So notes are rewritten at
+ *   intervals: a VM that was cut off and takes over again waits at most
  *   NOTE_RENEW_MS longer than the owner that wrote the note.
  */
 #include "owner/internal/owner_private.h"
 
 enum {
-    /* A note is written for a worker that has been unresponsive for this long:
-     * about three polls that fail immediately.  Most late workers answer
+    /* A note is written for a worker whose polls have had no answer for this
+     * long: about three polls that fail immediately.  Most late workers answer
      * within this time. */
     UNRESPONSIVE_MS = 1000,
     NOTE_RENEW_MS = 2000,
@@ -43,13 +45,12 @@
 {
     return target->address[0] == '\0' ||
            (target->unanswered_polls > 0 &&
-            cw_time_diff_ms(target->unresponsive_since, now) >=
-                UNRESPONSIVE_MS);
+            cw_time_diff_ms(target->unanswered_since, now) >= UNRESPONSIVE_MS);
 }
 
 /* True if a note has to be written: there is none, or it is old. */
 static bool
-wants_note(const struct cw_owner *owner, const struct owner_target *target,
+needs_note(const struct cw_owner *owner, const struct owner_target *target,
            struct timespec now)
 {
     bool due =
@@ -66,7 +67,7 @@
 
 /* True if the worker's note has to be dropped. */
 static bool
-wants_drop(const struct owner_target *target)
+needs_note_removal(const struct owner_target *target)
 {
     return target->lease_note == OWNER_LEASE_NOTE_WRITTEN &&
            (is_responsive(target) || !owner_target_has_ordered_run(target));
@@ -77,7 +78,7 @@
                       struct timespec now)
 {
     if (target->lease_note_queued ||
-        !(wants_note(owner, target, now) || wants_drop(target)))
+        !(needs_note(owner, target, now) || needs_note_removal(target)))
     {
         return cw_time_from_ms(INT32_MAX);
     }
@@ -114,18 +115,18 @@
     cw_log_info("lease_note_dropped", "worker=%s reason=%s runs=%u",
                 target->id, is_responsive(target) ? "heard" : "no_runs",
                 target->runs->len);
-    owner_batch_add_job(batch, target->id);
+    owner_batch_add_id(batch, target->id);
     owner_batch_put(batch, cw_work_key(CW_WORK_KEY_LEASE_NOTE, target->id),
                     NULL);
 }
 
-/* The records that drop notes are stored: the workers' leases may be extended
- * again. */
+/* Called when the records that drop notes are stored: the workers' leases may
+ * be extended again. */
 static void
 on_notes_stored(void *context, struct owner_batch *batch)
 {
     struct cw_owner *owner = context;
-    const GPtrArray *dropped = owner_batch_jobs(batch);
+    const GPtrArray *dropped = owner_batch_ids(batch);
 
     for (guint i = 0; i < dropped->len; i++) {
         struct owner_target *target =
@@ -154,10 +155,10 @@
         struct owner_target *target = owner->lease_notes_due->pdata[taken++];
 
         target->lease_note_queued = false;
-        if (wants_note(owner, target, now)) {
+        if (needs_note(owner, target, now)) {
             put_lease_note(batch, target, now);
         }
-        else if (wants_drop(target)) {
+        else if (needs_note_removal(target)) {
             put_note_removal(batch, target);
         }
     }
--- a/src/owner/owner_leases.c
+++ b/src/owner/owner_leases.c
@@ -10,11 +10,13 @@
      * failure of a worker until its tasks run elsewhere, however long a lease
      * the platform allows. */
     LONG_LEASE_MS = 5500,
-    /* Lease of a worker with little to lose, so that its tasks wait for less
-     * time if it fails; it covers two polls without an answer. */
+    /* Lease where little work can be lost (lease_ms_for), so that tasks wait
+     * for less time if the worker fails; it covers two polls without an
+     * answer. */
     SHORT_LEASE_MS = 4000,
-    /* No lease is granted by an older reading of a worker's clock: its drift
-     * of 2% would be a large part of a short lease. */
+    /* Maximum age of the reading of a worker's clock by which a lease is
+     * granted: after a longer time the drift of 2% would be a large part of a
+     * short lease. */
     CLOCK_FRESH_MS = 30000
 };
 
@@ -70,11 +72,11 @@
     }
 }
 
-/* From now on the worker refuses orders of earlier owners, so what they have
- * granted lasts no longer than the longest lease.  If nothing was known of the
- * worker, its lease may last that long. */
+/* From now on the worker refuses orders of earlier owners, so leases that they
+ * have granted last no longer than the longest lease from now.  If this owner
+ * had no bound for the worker, its lease may last that long. */
 void
-owner_lease_token_seen(struct owner_target *target, struct timespec now)
+owner_lease_token_received(struct owner_target *target, struct timespec now)
 {
     struct timespec latest =
         cw_time_add_ms(now, owner_lease_max_duration_ms(target->owner));
@@ -120,8 +122,8 @@
 }
 
 /* Length of the lease to grant.  It is short for a draining worker, whose work
- * will be lost soon, and for one without confirmed runs, which has no work to
- * lose.  A start grants a short lease as well, so that it does not lengthen
+ * will be lost soon, and for one without confirmed runs, of which no work can
+ * be lost.  A start grants a short lease as well, so that it does not lengthen
  * the lease that polls renew: the worker may not answer the next poll. */
 static int64_t
 lease_ms_for(const struct owner_target *target, enum cw_order_kind kind)
--- a/src/owner/owner_log.c
+++ b/src/owner/owner_log.c
@@ -6,8 +6,8 @@
 #include "curlewcart/cw_log.h"
 
 enum {
-    /* An append takes a few ms, and up to 250 ms while the
-     * store is slow; a broken connection is noticed after this. */
+    /* An append takes a few ms, and up to 250 ms while the store is slow; a
+     * broken connection is detected after this time. */
     APPEND_TIMEOUT_MS = 900,
     RETRY_MS = 80
 };
@@ -16,7 +16,7 @@
     struct owner_log *log; /* NULL: not sent, or the log was closed */
     owner_batch_stored stored;
     void *context;
-    GPtrArray *jobs;   /* char *, ids */
+    GPtrArray *ids;    /* char *, of jobs or workers */
     GPtrArray *keys;   /* char *, of the records */
     GPtrArray *values; /* GByteArray *, NULL: the key is dropped */
     uint64_t sequence;
@@ -53,7 +53,7 @@
 
     batch->stored = stored;
     batch->context = context;
-    batch->jobs = g_ptr_array_new_with_free_func(g_free);
+    batch->ids = g_ptr_array_new_with_free_func(g_free);
     batch->keys = g_ptr_array_new_with_free_func(g_free);
     batch->values = g_ptr_array_new_with_free_func(value_free);
     return batch;
@@ -62,7 +62,7 @@
 void
 owner_batch_free(struct owner_batch *batch)
 {
-    g_ptr_array_unref(batch->jobs);
+    g_ptr_array_unref(batch->ids);
     g_ptr_array_unref(batch->keys);
     g_ptr_array_unref(batch->values);
     g_free(batch);
@@ -76,15 +76,15 @@
 }
 
 void
-owner_batch_add_job(struct owner_batch *batch, const char *job)
+owner_batch_add_id(struct owner_batch *batch, const char *id)
 {
-    g_ptr_array_add(batch->jobs, g_strdup(job));
+    g_ptr_array_add(batch->ids, g_strdup(id));
 }
 
 const GPtrArray *
-owner_batch_jobs(const struct owner_batch *batch)
+owner_batch_ids(const struct owner_batch *batch)
 {
-    return batch->jobs;
+    return batch->ids;
 }
 
 struct timespec
@@ -138,8 +138,8 @@
     batch->due = cw_time_add_ms(log_now(log), RETRY_MS);
 }
 
-/* The store expects another sequence number than the batch's.  If it is the
- * next one, an attempt without an answer was stored. */
+/* Handles that the store expects another sequence number than the batch's.  If
+ * it expects the next one, an attempt without an answer was stored. */
 static void
 out_of_sequence(struct owner_log *log, struct owner_batch *batch,
                 uint64_t expected)
--- a/src/owner/owner_memo.c
+++ b/src/owner/owner_memo.c
@@ -1,4 +1,4 @@
-/* Remembers the shapes of steps that could not be placed in a placement pass.
+/* Records the shapes of steps that could not be placed in a placement pass.
  *
  * Within a pass free capacity only shrinks, until a run is dropped.  A step
  * that is at least as demanding as one that could not be placed is therefore
@@ -8,7 +8,7 @@
 
 #include <string.h>
 
-/* What determines whether a step can be placed. */
+/* The properties that determine whether a step can be placed. */
 struct shape {
     enum owner_attempt attempt;
     const char *service; /* interned */
@@ -89,9 +89,9 @@
            (!step->exempt || failed->exempt) &&
            (!step->guaranteed || failed->guaranteed) &&
            step->gang >= failed->gang &&
-           /* A gang that no rack can hold is spread over racks.  A failure of
-            * a gang that needs a rack says nothing about it, however small
-            * that gang is. */
+           /* A gang that no rack can hold is spread over racks.  The failure
+            * of a gang that needs a rack does not apply to such a gang,
+            * however small the failed one is. */
            (failed->gang == 0 || step->needs_rack == failed->needs_rack) &&
            needs_at_least(&step->need, &failed->need) &&
            step->service == failed->service &&
--- a/src/owner/owner_moves.c
+++ b/src/owner/owner_moves.c
@@ -1,4 +1,4 @@
-/* Runs that the owner evicts from their workers although nothing forces it to.
+/* Evictions of runs from their workers that are useful but not necessary.
  *
  * A gang that is stopped frees the capacity of all its members and then waits
  * like one that has not begun.  So work that makes progress is moved only if
@@ -43,7 +43,8 @@
     return fits_on(step, target);
 }
 
-/* True if what would be evicted with the run fits on other workers. */
+/* True if the runs that would be evicted together with the run fit on other
+ * workers. */
 static bool
 fits_elsewhere(struct cw_owner *owner, const struct owner_run *run,
                struct timespec now)
--- a/src/owner/owner_order_window.c
+++ b/src/owner/owner_order_window.c
@@ -1,11 +1,12 @@
-/* Limit on the number of orders in flight.
+/* Limit on the number of outstanding orders, which are queued, or sent and not
+ * answered.
  *
  * An owner that is short of processor time reads answers late, resends orders
  * that were answered, and opens new connections for them.  That costs more
- * processor time, and the owner never recovers: with 3,000 workers on half a
- * core it served a sixth of the requests, and started tasks on workers that
- * had shut down seconds before.  So the limit grows while orders are answered
- * quickly, and shrinks once answers are late. */
+ * processor time, and the owner never recovers: without a limit, with 3,000
+ * workers on half a core, it processes a sixth of the requests, and starts
+ * tasks on workers that shut down seconds before.  So the limit grows while
+ * orders are answered quickly, and shrinks once answers are late. */
 #include "owner/internal/owner_private.h"
 
 enum {
@@ -16,7 +17,7 @@
     /* Weight of a new answer in the average is 1 / this: the average covers a
      * few tenths of a second. */
     AVERAGE_DIVISOR = 64,
-    /* Limits on orders in flight: initially one for every other of 1,100
+    /* Limits on outstanding orders: initially one for about half of 1,100
      * workers, with a minimum and a maximum far from that. */
     ORDERS_MAX_INITIAL = 512,
     ORDERS_MAX_LOWEST = 96,
@@ -32,7 +33,7 @@
 owner_order_window_reset(struct owner_order_window *order_window)
 {
     order_window->mean_answer_ms = 0;
-    order_window->max_in_flight = ORDERS_MAX_INITIAL;
+    order_window->max_outstanding = ORDERS_MAX_INITIAL;
 }
 
 void
@@ -47,19 +48,19 @@
 owner_order_window_adjust(struct owner_order_window *order_window)
 {
     if (order_window->mean_answer_ms < QUICK_ANSWER_MS) {
-        order_window->max_in_flight =
-            MIN(order_window->max_in_flight +
-                    order_window->max_in_flight / GROWTH_DIVISOR,
+        order_window->max_outstanding =
+            MIN(order_window->max_outstanding +
+                    order_window->max_outstanding / GROWTH_DIVISOR,
                 ORDERS_MAX_HIGHEST);
     }
     else if (order_window->mean_answer_ms > LATE_ANSWER_MS) {
-        order_window->max_in_flight =
-            MAX(order_window->max_in_flight -
-                    order_window->max_in_flight / SHRINK_DIVISOR,
+        order_window->max_outstanding =
+            MAX(order_window->max_outstanding -
+                    order_window->max_outstanding / SHRINK_DIVISOR,
                 ORDERS_MAX_LOWEST);
         cw_log_info("order_window_reduced", "answer_ms=%.0f orders=%u most=%u",
-                    order_window->mean_answer_ms, order_window->in_flight,
-                    order_window->max_in_flight);
+                    order_window->mean_answer_ms, order_window->outstanding,
+                    order_window->max_outstanding);
     }
 }
 
@@ -67,7 +68,7 @@
 owner_order_window_allows(const struct owner_order_window *order_window,
                           bool urgent)
 {
-    return order_window->in_flight <
-           (urgent ? URGENT_FACTOR * order_window->max_in_flight
-                   : order_window->max_in_flight);
+    return order_window->outstanding <
+           (urgent ? URGENT_FACTOR * order_window->max_outstanding
+                   : order_window->max_outstanding);
 }
--- a/src/owner/owner_orders.c
+++ b/src/owner/owner_orders.c
@@ -6,7 +6,7 @@
 enum {
     /* With two orders in flight a lost answer does not delay the rest, and a
      * worker sees few connections.  The limit is one order if two, in addition
-     * to one poll, need more connections than the VM can keep open: the VM
+     * to one poll, need more connections than the VM can have open: the VM
      * would open new ones all the time and have no processor time left for
      * anything else. */
     ORDERS_IN_FLIGHT_MAX = 2,
@@ -18,27 +18,29 @@
     /* A connection that is reset fails within a millisecond, and a worker that
      * resets one connection resets all for a while.  So retries begin no
      * earlier than 0.1, 0.35 and 0.9 s after the first attempt: withdrawing
-     * the run costs its gang as much time, as the other members have to be
-     * stopped first. */
+     * the run instead would cost its gang a similar time, as the other members
+     * have to be stopped first. */
     FIRST_PAUSE_MS = 100,
     SECOND_PAUSE_MS = 250,
     THIRD_PAUSE_MS = 550,
-    /* A refused connection fails at once. */
+    /* Delay before a stop is retried: a refused connection fails at once. */
     STOP_RETRY_MS = 300,
-    /* Until the next poll, which takes about a second, has shown whether the
-     * worker answers. */
+    /* How long a worker is avoided after a start without an answer: until the
+     * next poll, which takes about a second, has shown whether the worker
+     * answers. */
     AVOID_UNANSWERED_MS = 1500,
     AVOID_FULL_MS = 300,
     AVOID_UNHEALTHY_MS = 1500,
-    /* A connection could not be made in time: the next poll of the worker,
-     * which is in flight by then, shows whether it answers. */
+    /* How long a worker is avoided to which no connection could be made in
+     * time: the next poll of it, which is in flight by then, shows whether it
+     * answers. */
     AVOID_UNREACHABLE_MS = 2000
 };
 
 void
 owner_order_free(struct owner_order *order)
 {
-    order->owner->order_window.in_flight--;
+    order->owner->order_window.outstanding--;
     g_free(order->job);
     g_free(order);
 }
@@ -58,7 +60,7 @@
     order->task = *task;
     order->task.job = order->job;
     order->run = run;
-    owner->order_window.in_flight++;
+    owner->order_window.outstanding++;
     owner_target_wake(target);
     /* Stops free the capacity that starts wait for. */
     if (kind == CW_ORDER_STOP) {
@@ -85,9 +87,9 @@
 
 /* ---- answers to starts ---- */
 
-/* The worker did not accept the run, so that its task has to be placed again.
- * An earlier start without an answer may still be carried out: then the run
- * has to be stopped first. */
+/* Withdraws a run that the worker did not accept, so that its task is placed
+ * again.  An earlier start without an answer may still be carried out: then
+ * the run has to be stopped first. */
 static void
 withdraw_run(struct cw_owner *owner, struct owner_run *run)
 {
@@ -180,14 +182,14 @@
     }
     switch (status) {
     case CW_TARGET_OK:
-    case CW_TARGET_OLD_RUN: /* it ran or was stopped: polls report its end */
+    case CW_TARGET_OLD_RUN: /* polls report the run's end */
         start_confirmed(run);
         break;
     case CW_TARGET_LATE:
     case CW_TARGET_UNKNOWN:
         retry_start(order, run);
         break;
-    case CW_TARGET_UNREACHABLE: /* it never left this VM */
+    case CW_TARGET_UNREACHABLE: /* nothing was sent */
         cw_count_code(owner->options.counters, CW_RETRY_SILENT);
         avoid(target, AVOID_UNREACHABLE_MS);
         withdraw_run(owner, run);
@@ -465,8 +467,7 @@
 }
 
 /* Drops an order to a worker without a usable address.  A stop is retried
- * later: a new owner may know a run before it has read the report of its
- * worker. */
+ * later: a new owner may have read a run before the report of its worker. */
 static void
 drop_undeliverable(struct owner_order *order, struct timespec now)
 {
--- a/src/owner/owner_place.c
+++ b/src/owner/owner_place.c
@@ -10,8 +10,8 @@
      * free, and at this interval, as the headroom for urgent work shrinks with
      * time. */
     RETRY_INTERVAL_MS = 250,
-    /* A gang that has waited so long gets a rack reserved against work with a
-     * lower priority, which otherwise fills each gap with small tasks before
+    /* A gang that has waited this long gets a rack reserved against work with
+     * a lower priority, which otherwise fills each gap with small tasks before
      * the gang fits. */
     RESERVE_RACK_AFTER_MS = 1500,
     /* A reserved run is dropped after this time.  It is longer than any stop
@@ -21,7 +21,7 @@
      * workers are added and removed; a check for each waiting gang in each
      * pass would iterate over all workers. */
     RACK_CHECK_INTERVAL_MS = 500,
-    /* Racks that may be reserved in one pass. */
+    /* Limit on the racks that are reserved in one pass. */
     RACK_RESERVATIONS_MAX = 2
 };
 
@@ -231,7 +231,7 @@
 }
 
 /* Drops reserved runs whose capacity has not been freed in time, so that their
- * tasks are placed again in what is free by then. */
+ * tasks are placed again in the capacity that is free by then. */
 static void
 drop_stale_reservations(struct cw_owner *owner, struct owner_step *step,
                         struct timespec now)
@@ -345,7 +345,7 @@
     step->tried_capacity_version = owner->capacity_version;
     step->tried_at = now;
     if (urgent && owner_place_starved_step(owner, step, now)) {
-        return; /* preemption alone could keep it waiting for ever */
+        return; /* preemption alone could delay it without limit */
     }
     if (urgent) {
         preempt_step(owner, step, now);
@@ -373,7 +373,7 @@
     g_ptr_array_sort(steps, by_urgency);
     owner->rack_reservations = 0;
     owner_memo_reset(owner->memo);
-    owner_available_reset(owner->open, steps);
+    owner_available_reset(owner->available, steps);
     owner_demand_update(owner);
     owner_headroom_update(owner, now);
     for (; next < steps->len && is_urgent(steps->pdata[next]); next++) {
--- a/src/owner/owner_polls.c
+++ b/src/owner/owner_polls.c
@@ -11,15 +11,17 @@
      * to report.  Longer is cheaper, but a lost answer costs this time and the
      * timeout. */
     POLL_WAIT_MS = 1000,
-    /* With more workers than this an owner is short of processor time, and
-     * the wait is as long as the workers allow. */
+    /* With more workers than this an owner is short of processor time, and the
+     * delay is as long as the workers allow. */
     MANY_WORKERS = 1000,
     POLL_WAIT_MANY_WORKERS_MS = 1900,
-    POLL_TIMEOUT_MS = 900,
+    /* Limit on the time for an answer in addition to that delay. */
+    POLL_ANSWER_MAX_MS = 900,
     /* Time from an answer to the next poll. */
     POLL_INTERVAL_MS = 40,
-    /* The same while a start there has no answer: this makes up to ten polls
-     * until the last try of the start, each of which is charged for. */
+    /* Interval of polls of a worker while a start on it has no answer: this
+     * leads to up to ten polls until the last attempt of the start, each of
+     * which is charged for. */
     POLL_INTERVAL_UNDECIDED_MS = 150,
     POLL_RETRY_MS = 300,
     /* Polls without an answer after which placements on the worker are given
@@ -29,12 +31,12 @@
      * durable yet. */
     POLL_INTERVAL_BLOCKED_MS = 700,
     ENDS_LISTED_MAX = 500,
-    /* Workers that had runs lately, or may have had them under an earlier
+    /* Workers that had runs recently, or may have had them under an earlier
      * owner, are polled at this interval, as only a poll shows an order that
      * was carried out late. */
     IDLE_POLL_INTERVAL_MS = 2500,
-    /* For how long: orders are late by up to 12 s. */
-    IDLE_POLLS_FOR_MS = 14000,
+    /* Duration of these polls: orders are late by up to 12 s. */
+    IDLE_POLLS_DURATION_MS = 14000,
     /* Limits on polls of idle workers, per second and in flight, however many
      * workers there are.  A poll costs about 0.2 ms. */
     IDLE_POLLS_PER_S = 150,
@@ -59,7 +61,7 @@
 
 /* ---- runs that are listed ---- */
 
-/* Applies what a worker has listed of a run. */
+/* Applies the state of a run that a worker has listed. */
 static void
 apply_progress(struct owner_run *run, const struct cw_running *listed,
                struct timespec now)
@@ -234,8 +236,8 @@
 {
     uint64_t first = answer->ended_count > 0 ? answer->ended[0].number : 0;
 
-    /* Ends before the first that this owner has seen were stored and confirmed
-     * by earlier owners. */
+    /* Ends before the first that this owner has received were stored and
+     * confirmed by earlier owners. */
     if (target->incarnation.ends_applied == 0 ||
         first <= target->incarnation.ends_applied + 1)
     {
@@ -294,7 +296,7 @@
 /* ---- stalled runs ---- */
 
 static bool
-gang_is_whole(const struct owner_step *step)
+all_members_running(const struct owner_step *step)
 {
     for (unsigned i = 0; i < step->count; i++) {
         const struct owner_run *run = step->tasks[i].run;
@@ -350,7 +352,7 @@
 
         if (run->phase != RUN_RUNNING || run->stopping || run->gang_done ||
             step->spec->endless || !run_is_stalled(run, now) ||
-            (step->spec->gang && !gang_is_whole(step)))
+            (step->spec->gang && !all_members_running(step)))
         {
             continue;
         }
@@ -389,7 +391,7 @@
     if (target->unanswered_polls == 0) {
         cw_log_info("worker_silent", "worker=%s status=%s runs=%u", target->id,
                     cw_target_status_name(status), target->runs->len);
-        target->unresponsive_since = now;
+        target->unanswered_since = now;
         owner_incarnation_unresponsive(target);
     }
     target->unanswered_polls++;
@@ -447,12 +449,12 @@
     }
     owner_crashes_answered(owner, target, answer->boot_ms);
     owner_target_set_clock(target, answer->clock_ms, now);
-    owner_lease_token_seen(target, now);
+    owner_lease_token_received(target, now);
     target->answered = true;
     target->answered_poll_sent_at = call->sent;
     target->incarnation.poll_answered_at = now;
     /* While there is a lease note, the short interval is not needed: the
-     * worker is polled at once when its removal is stored. */
+     * worker is polled at once when the note's removal is stored. */
     target->poll_due =
         cw_time_add_ms(now, decides_runs(target) ||
                                     target->lease_note != OWNER_LEASE_NOTE_NONE
@@ -514,7 +516,7 @@
  *
  * A worker that has restarted under its id counts its ends from 1 again.  If
  * it received a number that is meant for its former incarnation, it would
- * forget ends of the new one: they would be lost, and their tasks would run
+ * discard ends of the new one: they would be lost, and their tasks would run
  * again.  So each end is confirmed in only one poll, and only shortly after an
  * answer of the incarnation that has listed it.  The first poll after one
  * without an answer confirms no ends. */
@@ -536,8 +538,8 @@
 /* Returns how long the worker may delay its answer.  It has to answer at once
  * to a first poll, one after a poll without an answer, one that decides what
  * happens to a run, and one before ends are confirmed.  Otherwise a gang that
- * had been stopped was idle for 1.0 s longer, as the poll waited at the worker
- * of a member that had never been started. */
+ * was stopped would be idle for 1.0 s longer, as the poll would wait at the
+ * worker of a member that was never started. */
 static unsigned
 poll_wait_ms(const struct cw_owner *owner, const struct owner_target *target,
              uint64_t acked)
@@ -548,7 +550,7 @@
     bool waits = target->runs->len > 0 || has_orphans(target);
 
     /* While there is a lease note, polls don't extend the lease, and the
-     * worker has no time to wait. */
+     * worker has to answer at once. */
     return blocked || !target->answered || target->unanswered_polls > 0 ||
                    !waits || target->lease_note != OWNER_LEASE_NOTE_NONE ||
                    decides_runs(target)
@@ -579,7 +581,7 @@
             extends ? owner_lease_grant(target, CW_ORDER_POLL, now) : 0,
         .acked = acked,
         .wait_ms = wait_ms,
-        .timeout_ms = wait_ms + POLL_TIMEOUT_MS,
+        .timeout_ms = wait_ms + POLL_ANSWER_MAX_MS,
         .done = on_poll,
         .context = call,
     };
@@ -601,9 +603,10 @@
 may_have_orphans(const struct owner_target *target, struct timespec now)
 {
     return cw_time_diff_ms(target->owner->takeover_began_at, now) <
-               IDLE_POLLS_FOR_MS ||
+               IDLE_POLLS_DURATION_MS ||
            (target->last_busy_at.tv_sec > 0 &&
-            cw_time_diff_ms(target->last_busy_at, now) < IDLE_POLLS_FOR_MS);
+            cw_time_diff_ms(target->last_busy_at, now) <
+                IDLE_POLLS_DURATION_MS);
 }
 
 /* True if work may be sent to the worker: it is listed, and its service is
@@ -635,7 +638,8 @@
                target->incarnation.ends_in_batch ||
            target->incarnation.ends_in_batch >
                target->incarnation.ends_durable ||
-           /* A worker that was removed for good is not polled for ever. */
+           /* An unlisted worker that does not answer is not polled any longer.
+            */
            (has_unconfirmed(target) &&
             (target->listed || target->unanswered_polls == 0)) ||
            (target->unanswered_polls > 0 && may_get_work(target));
@@ -669,7 +673,7 @@
     }
 }
 
-/* Polls the worker if that is due; returns when it wants to be called next. */
+/* Polls the worker if that is due; returns when it has to be called next. */
 static struct timespec
 poll_tick(struct cw_owner *owner, struct owner_target *target,
           struct timespec now)
--- a/src/owner/owner_preempt.c
+++ b/src/owner/owner_preempt.c
@@ -8,8 +8,8 @@
     /* Core-seconds that a lost accelerator-second counts as. */
     CORES_PER_ACCELERATOR = 8,
     MILLI = 1000,
-    /* Work that a restart loses, approximately, beside the work since the
-     * checkpoint. */
+    /* Work that a restart loses, approximately, in addition to the work since
+     * the checkpoint. */
     RESTART_LOST_MS = 300,
     /* Added to the cost of equally urgent work, so that it is preempted only
      * where no lower-priority work would be enough. */
@@ -23,10 +23,10 @@
     double cost;           /* core-seconds that are lost */
 };
 
-/* The cost of one more task on a worker, with the plan so far. */
-struct price {
+/* Cost of placing one more task on a worker, in addition to the plan. */
+struct task_cost {
     struct owner_target *target;
-    bool fresh;              /* no run there was added to the plan since */
+    bool fresh; /* no run there was added to the plan after the computation */
     unsigned fits;           /* tasks that fit once the plan is carried out */
     GArray *victims;         /* struct victim, cheapest first */
     unsigned victims_needed; /* how many of them one more task requires */
@@ -43,9 +43,9 @@
     GPtrArray *gangs;    /* struct owner_step: gangs to stop */
     GPtrArray *singles;  /* struct owner_run: single tasks to stop */
     double cost;
-    GArray *prices; /* struct price, one for each worker */
-    /* struct owner_target -> 1 + index in `prices` */
-    GHashTable *price_positions;
+    GArray *task_costs; /* struct task_cost, one for each worker */
+    /* struct owner_target -> 1 + index in `task_costs` */
+    GHashTable *cost_positions;
 };
 
 /* ---- runs that may be preempted ---- */
@@ -126,7 +126,7 @@
  * preempted only if its account uses more than its guarantee and the step's
  * account is within its own. */
 static bool
-outranked_by_plan(const struct plan *plan, const struct owner_job *job)
+plan_may_preempt(const struct plan *plan, const struct owner_job *job)
 {
     unsigned priority = plan->step->occurrence->job->spec->priority;
 
@@ -139,7 +139,7 @@
 may_stop(const struct plan *plan, const struct owner_run *run)
 {
     return owner_run_may_be_stopped(run) &&
-           outranked_by_plan(plan, owner_task_job(run->task)) &&
+           plan_may_preempt(plan, owner_task_job(run->task)) &&
            !owner_endless_protects(run, plan->planned);
 }
 
@@ -178,12 +178,12 @@
 /* ---- planning ---- */
 
 static void
-price_clear(gpointer data)
+task_cost_clear(gpointer data)
 {
-    struct price *price = data;
+    struct task_cost *task_cost = data;
 
-    if (price->victims != NULL) {
-        g_array_unref(price->victims);
+    if (task_cost->victims != NULL) {
+        g_array_unref(task_cost->victims);
     }
 }
 
@@ -199,9 +199,9 @@
     plan->gangs = g_ptr_array_new();
     plan->singles = g_ptr_array_new();
     plan->cost = 0;
-    plan->prices = g_array_new(FALSE, TRUE, sizeof(struct price));
-    g_array_set_clear_func(plan->prices, price_clear);
-    plan->price_positions = g_hash_table_new(NULL, NULL);
+    plan->task_costs = g_array_new(FALSE, TRUE, sizeof(struct task_cost));
+    g_array_set_clear_func(plan->task_costs, task_cost_clear);
+    plan->cost_positions = g_hash_table_new(NULL, NULL);
 }
 
 static void
@@ -210,8 +210,8 @@
     g_hash_table_unref(plan->planned);
     g_ptr_array_unref(plan->gangs);
     g_ptr_array_unref(plan->singles);
-    g_array_unref(plan->prices);
-    g_hash_table_unref(plan->price_positions);
+    g_array_unref(plan->task_costs);
+    g_hash_table_unref(plan->cost_positions);
 }
 
 static void
@@ -222,14 +222,14 @@
     owner_resources_add(sum, &need);
 }
 
-/* Returns what is free on the worker once all runs that are stopping, or are
+/* Returns the worker's free resources once all runs that are stopping, or are
  * in the plan, have ended. */
 static struct cw_resources
 free_after(const struct plan *plan, const struct owner_target *target)
 {
     struct cw_resources available = owner_free_resources(target);
 
-    owner_resources_add(&available, &target->leaving);
+    owner_resources_add(&available, &target->used_by_stopping);
     for (guint i = 0; i < target->runs->len; i++) {
         const struct owner_run *run = target->runs->pdata[i];
 
@@ -302,73 +302,75 @@
 
 /* Finds the cheapest victims that make one more task fit on the worker. */
 static void
-price_next_task(const struct plan *plan, struct price *price)
+compute_task_cost(const struct plan *plan, struct task_cost *task_cost)
 {
-    struct cw_resources available = free_after(plan, price->target);
+    struct cw_resources available = free_after(plan, task_cost->target);
     double cost = 0;
 
-    price->cost = -1;
-    for (guint i = 0; i < price->victims->len; i++) {
+    task_cost->cost = -1;
+    for (guint i = 0; i < task_cost->victims->len; i++) {
         const struct victim *v =
-            &g_array_index(price->victims, struct victim, i);
+            &g_array_index(task_cost->victims, struct victim, i);
 
         add_need(&available, v->run);
         cost += v->cost;
-        if (owner_limit_per_worker(plan->step, price->target,
+        if (owner_limit_per_worker(plan->step, task_cost->target,
                                    owner_fit_count(&available, &plan->need)) >
-            price->fits)
+            task_cost->fits)
         {
-            price->victims_needed = i + 1;
-            price->cost = cost;
+            task_cost->victims_needed = i + 1;
+            task_cost->cost = cost;
             return;
         }
     }
 }
 
 static void
-refresh(const struct plan *plan, struct price *price, struct timespec now)
+update_task_cost(const struct plan *plan, struct task_cost *task_cost,
+                 struct timespec now)
 {
-    if (price->fresh) {
+    if (task_cost->fresh) {
         return;
     }
-    price_clear(price);
-    price->fresh = true;
-    price->fits = fits_after(plan, price->target);
-    price->victims = victims_on(plan, price->target, now);
-    price_next_task(plan, price);
+    task_cost_clear(task_cost);
+    task_cost->fresh = true;
+    task_cost->fits = fits_after(plan, task_cost->target);
+    task_cost->victims = victims_on(plan, task_cost->target, now);
+    compute_task_cost(plan, task_cost);
 }
 
-static struct price *
-price_at(const struct plan *plan, guint index)
+static struct task_cost *
+task_cost_at(const struct plan *plan, guint index)
 {
-    return &g_array_index(plan->prices, struct price, index);
+    return &g_array_index(plan->task_costs, struct task_cost, index);
 }
 
-/* Marks the worker's price as outdated, as a run there was added to the plan.
+/* Marks the worker's task cost as outdated, after a run there was added to the
+ * plan.
  */
 static void
-outdate_price(struct plan *plan, const struct owner_target *target)
+outdate_task_cost(struct plan *plan, const struct owner_target *target)
 {
     guint position =
-        GPOINTER_TO_UINT(g_hash_table_lookup(plan->price_positions, target));
+        GPOINTER_TO_UINT(g_hash_table_lookup(plan->cost_positions, target));
 
     if (position > 0) {
-        price_at(plan, position - 1)->fresh = false;
+        task_cost_at(plan, position - 1)->fresh = false;
     }
 }
 
 static void
-take_run(struct plan *plan, struct owner_run *run)
+plan_add_run(struct plan *plan, struct owner_run *run)
 {
     g_hash_table_add(plan->planned, run);
-    outdate_price(plan, run->target);
+    outdate_task_cost(plan, run->target);
 }
 
 static void
 add_victim(struct plan *plan, const struct victim *victim)
 {
     if (!victim->step->spec->gang) {
-        take_run(plan, victim->run);
+        plan_add_run(plan, victim->run);
         g_ptr_array_add(plan->singles, victim->run);
         plan->cost += victim->cost;
     }
@@ -377,16 +379,16 @@
         plan->cost += victim->cost;
         for (unsigned i = 0; i < victim->step->count; i++) {
             if (victim->step->tasks[i].run != NULL) {
-                take_run(plan, victim->step->tasks[i].run);
+                plan_add_run(plan, victim->step->tasks[i].run);
             }
         }
     }
     /* Which tasks of such a step may be stopped depends on how many others are
      * stopped on all workers. */
     for (guint i = 0;
-         victim->step->spec->may_miss > 0 && i < plan->prices->len; i++)
+         victim->step->spec->may_miss > 0 && i < plan->task_costs->len; i++)
     {
-        price_at(plan, i)->fresh = false;
+        task_cost_at(plan, i)->fresh = false;
     }
 }
 
@@ -395,15 +397,16 @@
 static bool
 add_victims(struct plan *plan)
 {
-    const struct price *best = NULL;
+    const struct task_cost *best = NULL;
     GArray *victims;
     unsigned victims_needed;
 
-    for (guint i = 0; i < plan->prices->len; i++) {
-        const struct price *price = price_at(plan, i);
+    for (guint i = 0; i < plan->task_costs->len; i++) {
+        const struct task_cost *task_cost = task_cost_at(plan, i);
 
-        if (price->cost >= 0 && (best == NULL || price->cost < best->cost)) {
-            best = price;
+        if (task_cost->cost >= 0 &&
+            (best == NULL || task_cost->cost < best->cost)) {
+            best = task_cost;
         }
     }
     if (best == NULL) {
@@ -424,27 +427,27 @@
 {
     unsigned fits = 0;
 
-    for (guint i = 0; i < plan->prices->len; i++) {
-        refresh(plan, price_at(plan, i), now);
-        fits += price_at(plan, i)->fits;
+    for (guint i = 0; i < plan->task_costs->len; i++) {
+        update_task_cost(plan, task_cost_at(plan, i), now);
+        fits += task_cost_at(plan, i)->fits;
     }
     return fits;
 }
 
-/* The price of a worker is computed again only when a run there was added to
+/* The task cost of a worker is recomputed only when a run there was added to
  * the plan: for a gang of 8 this takes 3.7 ms with 1,100 workers and 12 ms
- * with 3,000 workers on one core, while computing all prices again for each
- * task took 17.5 ms and 87 ms. */
+ * with 3,000 workers on one core, while recomputing all costs for each task
+ * takes 17.5 ms and 87 ms. */
 static bool
 make_plan(struct plan *plan, const GPtrArray *targets, unsigned tasks,
           struct timespec now)
 {
     for (guint i = 0; i < targets->len; i++) {
-        struct price price = {.target = targets->pdata[i]};
+        struct task_cost task_cost = {.target = targets->pdata[i]};
 
-        g_array_append_val(plan->prices, price);
-        g_hash_table_insert(plan->price_positions, targets->pdata[i],
-                            GUINT_TO_POINTER(plan->prices->len));
+        g_array_append_val(plan->task_costs, task_cost);
+        g_hash_table_insert(plan->cost_positions, targets->pdata[i],
+                            GUINT_TO_POINTER(plan->task_costs->len));
     }
     while (total_fits_after(plan, now) < tasks) {
         if (!add_victims(plan)) {
--- a/src/owner/owner_racks.c
+++ b/src/owner/owner_racks.c
@@ -8,7 +8,8 @@
 /* How long a rack stays reserved; renewed while the gang waits. */
 enum { RESERVATION_MS = 400 };
 
-/* What a rack would give a gang that uses its candidates in their order. */
+/* Capacity of a rack for a gang that uses the rack's candidates in their
+ * order. */
 struct rack_offer {
     const char *rack;
     unsigned fits; /* tasks that fit on all its candidates */
--- a/src/owner/owner_runs.c
+++ b/src/owner/owner_runs.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-/* The worker's total in which the run's resources are counted. */
+/* Returns the worker's total in which the run's resources are counted. */
 static struct cw_resources *
 resources_total_of(struct owner_run *run)
 {
@@ -61,7 +61,7 @@
 
     owner_resources_subtract(resources_total_of(run), &need);
     if (run->stopping) {
-        owner_resources_subtract(&target->leaving, &need);
+        owner_resources_subtract(&target->used_by_stopping, &need);
         target->stopping--;
     }
     if (run->phase < RUN_STARTING) {
@@ -108,7 +108,7 @@
 
         run->stopping = true;
         run->target->stopping++;
-        owner_resources_add(&run->target->leaving, &need);
+        owner_resources_add(&run->target->used_by_stopping, &need);
     }
     if ((run->phase == RUN_STARTING || run->phase == RUN_RUNNING ||
          run->phase == RUN_INHERITED) &&
@@ -158,7 +158,8 @@
     return names[phase];
 }
 
-/* Milliseconds since the worker confirmed the run; -1 if it never did. */
+/* Returns the milliseconds since the worker confirmed the run; -1 if it never
+ * did. */
 static int64_t
 ms_since_start(const struct owner_run *run, struct timespec now)
 {
@@ -351,8 +352,9 @@
     }
 }
 
-/* The worker was unresponsive for longer than its lease, but the run had ended
- * before.  Its end can be accepted, as the lease has expired in between. */
+/* Accepts a late end: the worker was unresponsive for longer than its lease,
+ * but the run had ended before.  That is safe, as the lease has expired in
+ * between. */
 void
 owner_task_done_late(struct cw_owner *owner, struct owner_task *task)
 {
@@ -413,8 +415,8 @@
     }
 }
 
-/* Reason with which an end other than done or failed ends an at-most-once
- * job. */
+/* Returns the reason with which an end other than done or failed ends an
+ * at-most-once job. */
 static enum cw_result
 job_result_of(enum cw_end_kind how)
 {
--- a/src/owner/owner_spare.c
+++ b/src/owner/owner_spare.c
@@ -1,8 +1,8 @@
 /* Spare capacity as reported by workers.
  *
  * The owner itself also counts runs that it has placed and no worker has
- * confirmed, and runs that wait until others have been stopped.  From outside
- * these are not visible: nothing runs there. */
+ * confirmed, and runs that wait until others have been stopped.  Outside the
+ * owner these are not visible, as they are not executed. */
 #include "owner/internal/owner_spare.h"
 
 #include "owner/internal/owner_candidates.h"
@@ -23,7 +23,8 @@
     GArray *workers; /* struct spare_worker */
 };
 
-/* Returns what neither the runs that the worker has confirmed nor orphans use.
+/* Returns the resources that neither the runs that the worker has confirmed
+ * nor orphans use.
  */
 static struct cw_resources
 reported_free(const struct owner_target *target)
--- a/src/owner/owner_speed.c
+++ b/src/owner/owner_speed.c
@@ -14,13 +14,13 @@
 enum {
     /* Minimum length of the window over which a rate is measured. */
     WINDOW_MIN_MS = 400,
-    /* The window also covers at least so many percent, done or expected, as
+    /* The window also covers at least this many percent, done or expected, as
      * progress is reported in whole percent. */
     WINDOW_MIN_PERCENT = 5,
     /* An older rate of a member is not used for comparison. */
     RATE_MAX_AGE_MS = 2500,
     SLOW_AVOID_MS = 2500,
-    /* Restarts of a step because of slow workers. */
+    /* Limit on the restarts of a step because of slow workers. */
     MOVES_MAX = 2
 };
 
--- a/src/owner/owner_starvation.c
+++ b/src/owner/owner_starvation.c
@@ -12,8 +12,8 @@
 
 enum {
     /* The platform tolerates 6 s after the last run of an endless task,
-     * whether other tasks of its job run or not.  The rest is for a placement
-     * pass, the store and the start. */
+     * whether other tasks of its job run or not.  The limit is lower by the
+     * time that a placement pass, the store and the start take. */
     ENDLESS_STARVED_MS = 5300,
     /* Interval of scans for starved steps.  In a full service capacity stays
      * free for only some ms, until the next pass. */
@@ -24,9 +24,9 @@
     /* Limit on the steps that are placed in one scan: for an owner that is
      * behind, all waiting jobs are starved. */
     PLACED_MAX = 16,
-    /* Limit on the failed attempts in one scan, beside those that the memo
-     * saves: high enough that a few gangs that don't fit don't keep all other
-     * steps from being tried. */
+    /* Limit on the failed attempts in one scan, in addition to those that the
+     * memo avoids: high enough that a few gangs that don't fit don't prevent
+     * all other steps from being tried. */
     FAILED_MAX = 256,
     /* How often an endless task has to fit, unless its whole job is starved.
      */
--- a/src/owner/owner_state.c
+++ b/src/owner/owner_state.c
@@ -77,7 +77,7 @@
     job->started = record->started;
     job->ended_ms = record->ended_ms;
     job->next_occurrence = record->next_occurrence;
-    job->begun = record->begun;
+    job->start_confirmed = record->begun;
     job->reason = record->reason;
     job->config = record->config;
     if (record->result[0] != '\0') {
@@ -266,7 +266,7 @@
         .phase = job->phase,
         .started = job->started,
         .ended_ms = job->ended_ms,
-        .begun = job->begun,
+        .begun = job->start_confirmed,
         .reason = job->reason,
         .config = job->config,
         .result = job->result != NULL ? job->result : (char *)"",
--- a/src/owner/owner_state_reader.c
+++ b/src/owner/owner_state_reader.c
@@ -7,7 +7,7 @@
 #include "curlewcart/cw_owner.h"
 #include "curlewcart/cw_work.h"
 
-/* The present owner writes on until it is fenced, so reading is repeated. */
+/* Interval of reads: the present owner writes until it is fenced. */
 enum { READ_INTERVAL_MS = 20 };
 
 struct owner_state_reader {
--- a/src/owner/owner_targets.c
+++ b/src/owner/owner_targets.c
@@ -15,8 +15,8 @@
     /* The report of a worker that does not enforce its capacity is relied on
      * for this long after its next report was due: reads of reports are half a
      * second apart, before a report is written and after.  The platform
-     * tolerates a start that relies on a capacity from 3 s and one report
-     * interval before. */
+     * tolerates a start that relies on a capacity that is up to 3 s and one
+     * report interval old. */
     REPORT_LATE_MS = 2500
 };
 
@@ -202,7 +202,7 @@
         target->reported_at = cw_follower_fresh_as_of(owner->reports);
     }
     target->listed = true;
-    target->seen_in_reload = true;
+    target->found_in_reload = true;
     target->draining = draining;
     owner_incarnation_reported(target, report->boot_ms);
     if (!target->incarnation.clock_known && report->clock_ms > 0) {
@@ -263,7 +263,7 @@
 
     g_hash_table_iter_init(&iterator, owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        ((struct owner_target *)value)->seen_in_reload = false;
+        ((struct owner_target *)value)->found_in_reload = false;
     }
 }
 
@@ -278,7 +278,7 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct owner_target *target = value;
 
-        if (!target->seen_in_reload) {
+        if (!target->found_in_reload) {
             unlist(target);
         }
     }
@@ -342,7 +342,7 @@
     }
     clear_orders(&target->orders);
     owner_tombstone_unqueue(target);
-    target->answered = false; /* the next poll lists what became of the runs */
+    target->answered = false; /* the next poll lists the state of the runs */
     owner->placement_wanted = true;
     owner_crashes_resolve(owner, target, owner_now(owner));
 }
--- a/src/owner/owner_tombstones.c
+++ b/src/owner/owner_tombstones.c
@@ -6,8 +6,7 @@
  * only until the worker's lease is extended for other work: then the task
  * would run at the same time as, or after, its next run.  So before the lease
  * is extended again, a stop of the old run has to be confirmed by the worker,
- * which then refuses the start.  The worker gets no other work for that one
- * request.
+ * which then refuses the start.  Until then the worker gets no other work.
  */
 #include "owner/internal/owner_private.h"
 
--- a/src/placement/headroom.c
+++ b/src/placement/headroom.c
@@ -6,12 +6,11 @@
 #include "curlewcart/cw_time.h"
 
 enum {
-    /* Capacity is reserved for the arrivals of this time.  It is about twice
-     * the time that it takes to stop other runs, as arrivals are uneven. */
-    ARRIVING_MS = 1500,
+    /* Capacity is reserved for the arrivals of this time: about twice the time
+     * needed to stop other runs, as arrivals are uneven. */
+    RESERVED_ARRIVALS_MS = 1500,
     /* Time over which arrivals are averaged, approximately. */
     ARRIVALS_AVERAGE_MS = 4000,
-    /* Decay of the peak. */
     PEAK_DECAY_PERCENT_PER_S = 12,
     PERCENT = 100
 };
@@ -46,7 +45,8 @@
 double
 cw_headroom_expected_arrivals(const struct cw_headroom *headroom)
 {
-    return headroom->recent_arrivals * ARRIVING_MS / ARRIVALS_AVERAGE_MS;
+    return headroom->recent_arrivals * RESERVED_ARRIVALS_MS /
+           ARRIVALS_AVERAGE_MS;
 }
 
 double
--- a/src/placement/idle.c
+++ b/src/placement/idle.c
@@ -5,15 +5,16 @@
 
 enum {
     /* The platform tolerates 3 s in which no task of a job runs while there is
-     * twice the capacity that it needs.  The rest is for the placement, the
-     * store and the start: 0.1 s, and up to 0.4 s where answers are late. */
+     * twice the capacity that it needs.  The limit is lower by the time that
+     * the placement, the store and the start take: 0.1 s, or up to 0.4 s with
+     * late answers. */
     IDLE_MAX_MS = 2300,
-    /* How long there has to have been free capacity.  Workers may have had it
-     * for 1 s longer: where their answers are late, the owner learns of the
-     * ends of runs so much later. */
+    /* Minimum time for which there has been free capacity.  With late answers
+     * the owner receives the ends of runs up to 1 s late, so that the capacity
+     * may have been free for 1 s longer. */
     FREE_MIN_MS = 1500,
-    /* For the same reason a shorter gap without free capacity may be an
-     * artefact of late answers, and is ignored. */
+    /* A shorter gap without free capacity may be caused by late answers, and
+     * is ignored. */
     GAP_MAX_MS = 1000
 };
 
--- a/src/placement/stragglers.c
+++ b/src/placement/stragglers.c
@@ -6,24 +6,25 @@
 #include "curlewcart/cw_time.h"
 
 enum {
-    /* A run without progress for this time is stalled, */
+    /* A run is stalled after STALLED_MS without progress, but not before the
+     * time that STALLED_MIN_EXPECTED_PERCENT percent take at its best rate or,
+     * while that is unknown, by its estimate. */
     STALLED_MS = 4500,
-    /* but not before it would have done so many percent at its own rate. */
-    STALLED_MIN_PERCENT = 3,
-    /* A rate below this part of the expected one is slow. */
+    STALLED_MIN_EXPECTED_PERCENT = 3,
+    /* A rate below this percentage of the expected one is slow. */
     SLOW_BELOW_PERCENT = 40,
-    /* What a restart costs beside the work that is repeated. */
+    /* Time that a restart takes in addition to the repeated work. */
     RESTART_COST_MS = 1200
 };
 
-/* Lower rates, in percent per second, count as this one. */
+/* Lower bound of a run's rate, against division by zero. */
 #define RATE_MIN_PERCENT_PER_S 1.0
 
 bool
 cw_progress_stalled(const struct cw_progress *progress)
 {
-    double bound_ms =
-        MAX(STALLED_MS, STALLED_MIN_PERCENT * progress->ms_per_percent);
+    double bound_ms = MAX(STALLED_MS, STALLED_MIN_EXPECTED_PERCENT *
+                                          progress->ms_per_percent);
 
     if (progress->percent >= CW_PERCENT_DONE && progress->awaits_gang) {
         return false;
@@ -63,15 +64,15 @@
 cw_restart_is_worthwhile(const struct cw_restart *restart)
 {
     double left = CW_PERCENT_DONE - restart->percent;
-    double again = restart->checkpoints ? left : CW_PERCENT_DONE;
-    double here_ms =
+    double repeated_percent = restart->checkpoints ? left : CW_PERCENT_DONE;
+    double stay_ms =
         left * CW_MS_PER_S / MAX(restart->rate, RATE_MIN_PERCENT_PER_S);
-    double there_ms =
-        again * CW_MS_PER_S / restart->expected + RESTART_COST_MS;
+    double restart_ms =
+        repeated_percent * CW_MS_PER_S / restart->expected + RESTART_COST_MS;
 
     if (!restart->urgent) {
-        there_ms +=
+        restart_ms +=
             RESTART_COST_MS; /* a delay costs less than the work lost */
     }
-    return here_ms > there_ms;
+    return stay_ms > restart_ms;
 }
--- a/tests/owner_fixture.h
+++ b/tests/owner_fixture.h
@@ -1,5 +1,5 @@
 /* A VM with an in-process store and a worker that answers only when a test
- * says so, for tests of takeovers. */
+ * requests it, for tests of takeovers. */
 #ifndef CURLEWCART_TESTS_OWNER_FIXTURE_H
 #define CURLEWCART_TESTS_OWNER_FIXTURE_H
 
@@ -92,7 +92,7 @@
     call->done(call->context, &result);
 }
 
-/* Starts a VM that knows nothing but what it reads. */
+/* Starts a VM with empty state, which then reads the store. */
 static inline void
 vm_begin(struct fixture *fixture)
 {
@@ -285,7 +285,7 @@
 }
 
 /* Answers all polls in flight with a list in which each task runs.  Returns
- * the latest end of a lease that the polls gave. */
+ * the latest end of a lease that the polls granted. */
 static inline int64_t
 answer_all_polls(void)
 {
@@ -295,7 +295,7 @@
                                       .boot_ms = 1,
                                       .running = running,
                                       .running_count = TASKS};
-    int64_t lease_ms = 0;
+    int64_t lease_until_ms = 0;
 
     for (unsigned i = 0; i < TASKS; i++) {
         running[i].task.job = ID;
@@ -308,27 +308,27 @@
             g_array_index(unanswered, struct cw_target_order, 0);
 
         g_array_remove_index(unanswered, 0);
-        lease_ms = MAX(lease_ms, order.lease_until_ms);
+        lease_until_ms = MAX(lease_until_ms, order.lease_until_ms);
         order.done(order.context, &answer);
     }
-    return lease_ms;
+    return lease_until_ms;
 }
 
-/* Lets time pass with a worker that answers; returns the latest end of a
- * lease that it was given. */
+/* Lets time pass with a worker that answers; returns the latest end of a lease
+ * that was granted to it. */
 static inline int64_t
 run_answering_polls(struct fixture *fixture, unsigned ms)
 {
-    int64_t lease_ms = 0;
+    int64_t lease_until_ms = 0;
 
     for (unsigned passed = 0; passed < ms; passed += STEP_MS) {
-        int64_t given_ms;
+        int64_t granted_until_ms;
 
         run(fixture, STEP_MS);
-        given_ms = answer_all_polls();
-        lease_ms = MAX(lease_ms, given_ms);
+        granted_until_ms = answer_all_polls();
+        lease_until_ms = MAX(lease_until_ms, granted_until_ms);
     }
-    return lease_ms;
+    return lease_until_ms;
 }
 
 static inline int64_t
--- a/tests/owner_site.h
+++ b/tests/owner_site.h
@@ -1,7 +1,7 @@
 /* An owner with workers in three racks and without a network, for tests of its
  * decisions. */
-#ifndef CURLEWCART_TESTS_OWNER_SITE_H
-#define CURLEWCART_TESTS_OWNER_SITE_H
+#ifndef CURLEWCART_TESTS_OWNER_CLUSTER_H
+#define CURLEWCART_TESTS_OWNER_CLUSTER_H
 
 #include <string.h>
 
--- a/tests/test_capacity.c
+++ b/tests/test_capacity.c
@@ -2,14 +2,14 @@
  * not enforce their capacity but start whatever they are ordered to.
  *
  * The runs on a worker must fit the capacity that it reports.  Guards against
- * three ways in which they did not, the first seen in emulated days on which
- * workers do not enforce their capacity and shrink (8 of 600 days, among them
- * seeds 900016 and 900017):
- * - After the store was unavailable for five seconds, work was placed by old
- *   reports until the workers' reports were read again.
- * - The capacity of a run that is no longer wanted was counted as free while
- *   the run was being stopped.
- * - A start that was decided before its worker shrank was sent afterwards. */
+ * three faults by which they don't, the first of which occurred on emulated
+ * days on which workers do not enforce their capacity and shrink (8 of 600
+ * days, among them seeds 900016 and 900017):
+ * - After the store was unavailable for five seconds, work is placed by old
+ *   reports until the workers' reports are read again.
+ * - The capacity of a run that is no longer needed is counted as free while
+ *   the run is being stopped.
+ * - A start that was decided before its worker shrank is sent afterwards. */
 #include "test_main.h"
 
 #include "owner_site.h"
@@ -21,15 +21,15 @@
 static struct owner_target *
 list_only_one(struct site *site)
 {
-    struct owner_target *kept = owner_target_get(site->owner, "w00");
+    struct owner_target *only = owner_target_get(site->owner, "w00");
     GHashTableIter iterator;
     gpointer value;
 
     g_hash_table_iter_init(&iterator, site->owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        ((struct owner_target *)value)->listed = value == kept;
+        ((struct owner_target *)value)->listed = value == only;
     }
-    return kept;
+    return only;
 }
 
 static void
@@ -159,8 +159,8 @@
     site_end(&site);
 }
 
-/* Seed 900032: placed when the store became unavailable, sent when it
- * returned. */
+/* The run is placed when the store becomes unavailable and would be sent when
+ * it returns, as with seed 900032. */
 static void
 test_a_start_decided_before_an_outage_is_not_sent(void)
 {
--- a/tests/test_cordons.c
+++ b/tests/test_cordons.c
@@ -1,10 +1,10 @@
 /* Cordons: data centres that operators have closed to new work.
  *
  * Guards against starts in a cordoned data centre.  A cordon is a record in
- * the store, in the topic of the configuration.  When only the configuration
- * was read from that topic, neither placement nor starts nor a VM that took
- * over obeyed cordons: on one day there were 589 starts in a data centre that
- * had been cordoned for more than 5 s, as reported by callers and workers.
+ * the store, in the topic of the configuration.  If only the configuration is
+ * read from that topic, neither placement nor starts nor a VM that takes over
+ * apply cordons: on one day this led to 589 starts in a data centre that had
+ * been cordoned for more than 5 s, as reported by callers and workers.
  *
  * Without the checks when starts are sent, six of the tests of starts fail,
  * and 4 of 200 emulated days with cordons; "reserved" fails if reserved runs
@@ -48,7 +48,7 @@
     fixture->site.owner->options.cordons = fixture->cordons;
 }
 
-/* From now on cordons are read from a store, as on a VM. */
+/* Makes the fixture read cordons from a store, as a VM does. */
 static void
 follow_cordons(struct fixture *fixture)
 {
@@ -319,7 +319,7 @@
     fixture_end(&fixture);
 }
 
-/* Work that runs there goes on. */
+/* Work that runs in a cordoned data centre continues. */
 static void
 test_running_work_is_left_alone(void)
 {
@@ -337,8 +337,8 @@
     fixture_end(&fixture);
 }
 
-/* Lower-priority work may use as many workers as urgent work leaves of those
- * that are not cordoned. */
+/* Lower-priority work may use those workers that are not cordoned, except the
+ * headroom for urgent work. */
 static void
 test_cordoned_workers_are_no_headroom(void)
 {
--- a/tests/test_crashes.c
+++ b/tests/test_crashes.c
@@ -1,12 +1,12 @@
 /* Tasks that crash every worker that starts them.
  *
  * Guards against a task that crashes one worker after the other without limit.
- * One urgent task was started on 14 workers, 3.4 s apart; each crashed 10 ms
- * after it had confirmed the start, and other jobs' runs were lost with it.
- * Only reported failures counted against a task: a run that was lost with its
- * worker left no trace, neither in memory nor in the state that a new owner
- * reads, and its task was placed again at once.  With that fault the tests
- * "given up" and "new owner" see 12 starts each. */
+ * If only reported failures count against a task, a run that is lost with its
+ * worker is recorded neither in memory nor in the state that a new owner
+ * reads, and its task is placed again at once.  With that fault one urgent
+ * task was started on 14 workers, 3.4 s apart; each crashed 10 ms after it had
+ * confirmed the start, and other jobs' runs were lost with it.  There are 12
+ * starts then in each of the tests "given up" and "new owner". */
 #include "test_main.h"
 
 #include "owner/internal/owner_crashes.h"
@@ -20,7 +20,7 @@
 
 static const struct cw_step_spec one = {.tasks = 1, .accelerators = 4};
 
-/* Another incarnation answers a poll at the worker's address. */
+/* Crashes the worker: another incarnation answers a poll at its address. */
 static void
 crash(struct site *site, struct owner_target *target)
 {
@@ -74,7 +74,8 @@
     site_end(&site);
 }
 
-/* A job restored from the state that another owner has stored. */
+/* Returns a job that was restored from the state that another owner has
+ * stored. */
 static struct owner_job *
 take_over(struct site *site, GByteArray *state)
 {
@@ -87,7 +88,8 @@
     return job;
 }
 
-/* Each owner sees one worker crash and is replaced by another owner. */
+/* Each owner detects one crash of a worker and is then replaced by another
+ * owner. */
 static void
 test_suspicion_survives_change_of_owner(void)
 {
@@ -118,7 +120,8 @@
 /* ---- cause of a crash ---- */
 
 /* Puts runs of both jobs on one worker, the first with progress.  The second
- * is put there directly: placement would give a suspect a worker of its own.
+ * is put there directly: placement would use a worker without other runs for a
+ * suspect.
  */
 static struct owner_target *
 put_on_one_worker(struct site *site, struct owner_job *progressing,
@@ -141,8 +144,7 @@
     return target;
 }
 
-/* In the same incident another task was on two crashed workers in a row
- * without being the cause. */
+/* A task may be on two successive crashed workers without being the cause. */
 static void
 test_neighbour_of_crashing_task_is_not_given_up(void)
 {
@@ -289,7 +291,8 @@
     site_end(&site);
 }
 
-/* An endless job is on a crashed worker now and then for as long as it runs.
+/* An endless job that runs for a long time is on a crashed worker repeatedly
+ * without being the cause.
  */
 static void
 test_steady_endless_job_loses_suspicion(void)
@@ -318,7 +321,7 @@
 
 /* ---- workers that may be cut off ---- */
 
-/* The worker's lease is over, and it did not answer. */
+/* Ends the worker's lease without an answer from it. */
 static void
 lose_unresponsive(struct site *site, struct owner_target *target)
 {
--- a/tests/test_drain.c
+++ b/tests/test_drain.c
@@ -43,7 +43,8 @@
     site_end(&site);
 }
 
-/* Its work would be lost if it were moved, and the worker may remain longer.
+/* Work without checkpoints would be lost if it were moved, and the worker may
+ * remain longer.
  */
 static void
 test_work_without_checkpoints_stays(void)
@@ -110,10 +111,10 @@
     }
 }
 
-/* Guards against long leases of draining workers.  A worker that had announced
- * that it drains was cut off and went away, with a lease of 10 s that had been
- * extended until the cut.  The end of a task was lost with it, and the task
- * ran again only 11 s later, after its callers had given up. */
+/* Guards against long leases of draining workers.  If a worker that has
+ * announced that it drains is cut off and shuts down with a lease of 10 s that
+ * was extended until the cut, the end of a task may be lost with it.  The task
+ * then runs again only 11 s later, after its callers have given up. */
 static void
 test_a_draining_worker_gets_short_leases(void)
 {
