--- a/tests/test_epochs.c
+++ b/tests/test_epochs.c
@@ -1,20 +1,20 @@
-/* Records of the epochs under which VMs gave leases, and how long a new owner
- * waits for workers that do not answer it. */
+/* Records of the epochs under which VMs granted leases, and how long a new
+ * owner waits for workers that do not answer it. */
 #include "test_main.h"
 
 #include "emulator/worker_model.h"
 #include "owner_fixture.h"
 
 enum {
-    /* The longest lease that owners give, and with clock drift and the delay
-     * of an order. */
-    GIVEN_MS = 5500,
-    GIVEN_MAX_MS = GIVEN_MS + GIVEN_MS / 50 + 500,
+    /* The longest lease that owners grant, without and with clock drift and
+     * the delay of an order. */
+    GRANTED_MS = 5500,
+    GRANTED_MAX_MS = GRANTED_MS + GRANTED_MS / 50 + 500,
     /* The same where workers may restart under their ids. */
     WHOLE_LEASE_MAX_MS = LEASE_MS + LEASE_MS / 50 + 500,
     /* The bound for a VM whose epoch has no end: 6 s in which it may still
-     * give a lease, and that lease. */
-    OPEN_BOUND_MS = 6000 + GIVEN_MAX_MS,
+     * grant a lease, and that lease. */
+    OPEN_BOUND_MS = 6000 + GRANTED_MAX_MS,
     /* Epochs of two earlier owners, and one that is later than this VM's. */
     EARLY_EPOCH = 5,
     LATE_EPOCH = 7,
@@ -22,7 +22,8 @@
     LATER_GENERATION = 2, /* epochs above EARLY_EPOCH and LATE_EPOCH */
     LEFT_MS = 3000,
     ROW_MS = 1000,
-    READ_MS = 300,     /* from a record's writing until all have read it */
+    READ_MS =
+        300, /* from the writing of a record until all VMs have read it */
     TOLERANCE_MS = 300 /* clock drift, reads and steps of the clock */
 };
 
@@ -33,7 +34,7 @@
           uint64_t settled)
 {
     struct cw_epoch_record value = {
-        .epoch = epoch, .settled_below = settled, .lease_ms = GIVEN_MS};
+        .epoch = epoch, .settled_below = settled, .lease_ms = GRANTED_MS};
     GByteArray *bytes = cw_xdr_encode((xdrproc_t)xdr_cw_epoch_record, &value);
 
     put(fixture, CW_JOBS_TOPIC, key, bytes);
@@ -77,27 +78,27 @@
     return g_hash_table_lookup(cw_replica_epochs(fixture->replica), vm);
 }
 
-/* ---- records folded by the replica ---- */
+/* ---- records applied by the replica ---- */
 
-struct fold {
+struct record_fixture {
     struct cw_clock_manual clock;
     struct cw_replica *replica;
 };
 
 static void
-fold_begin(struct fold *fold)
+record_fixture_begin(struct record_fixture *records)
 {
-    struct cw_replica_options options = {.clock = &fold->clock.base};
+    struct cw_replica_options options = {.clock = &records->clock.base};
 
     cw_log_setup("off", "test");
-    cw_clock_manual_init(&fold->clock);
-    fold->clock.now = cw_time_from_ms(START_MS);
-    fold->replica = cw_replica_create(&options);
+    cw_clock_manual_init(&records->clock);
+    records->clock.now = cw_time_from_ms(START_MS);
+    records->replica = cw_replica_create(&options);
 }
 
 static void
-fold_bytes(struct fold *fold, uint64_t offset, const char *key,
-           GByteArray *bytes)
+apply_bytes(struct record_fixture *records, uint64_t offset, const char *key,
+            GByteArray *bytes)
 {
     struct cw_store_record record = {
         .key = key,
@@ -106,72 +107,75 @@
         .length = bytes != NULL ? bytes->len : 0,
     };
 
-    cw_replica_apply(fold->replica, &record);
+    cw_replica_apply(records->replica, &record);
     if (bytes != NULL) {
         g_byte_array_unref(bytes);
     }
 }
 
 static void
-fold_epoch(struct fold *fold, uint64_t offset, uint64_t epoch)
+apply_epoch(struct record_fixture *records, uint64_t offset, uint64_t epoch)
 {
     struct cw_epoch_record value = {.epoch = epoch, .settled_below = epoch};
 
-    fold_bytes(fold, offset, "oa",
-               cw_xdr_encode((xdrproc_t)xdr_cw_epoch_record, &value));
+    apply_bytes(records, offset, "oa",
+                cw_xdr_encode((xdrproc_t)xdr_cw_epoch_record, &value));
 }
 
 static void
-fold_end(struct fold *fold, uint64_t offset, uint64_t epoch, unsigned left_ms)
+apply_end(struct record_fixture *records, uint64_t offset, uint64_t epoch,
+          unsigned left_ms)
 {
-    fold_bytes(fold, offset, "ea", encode_end(epoch, left_ms, "w"));
+    apply_bytes(records, offset, "ea", encode_end(epoch, left_ms, "w"));
 }
 
 static const struct cw_replica_epoch *
-folded(const struct fold *fold)
+applied_epoch(const struct record_fixture *records)
 {
-    return g_hash_table_lookup(cw_replica_epochs(fold->replica), "a");
+    return g_hash_table_lookup(cw_replica_epochs(records->replica), "a");
 }
 
 /* Guards against a bound that starts anew each time a record is read. */
 static void
 test_records_read_again_change_nothing(void)
 {
-    struct fold fold;
-
-    fold_begin(&fold);
-    fold_epoch(&fold, 1, EARLY_EPOCH);
-    fold_end(&fold, 2, EARLY_EPOCH, LEFT_MS);
-    fold.clock.now = cw_time_add_ms(fold.clock.now, 500);
-    fold_epoch(&fold, 1, EARLY_EPOCH);
-    fold_end(&fold, 2, EARLY_EPOCH, LEFT_MS);
+    struct record_fixture records;
+
+    record_fixture_begin(&records);
+    apply_epoch(&records, 1, EARLY_EPOCH);
+    apply_end(&records, 2, EARLY_EPOCH, LEFT_MS);
+    records.clock.now = cw_time_add_ms(records.clock.now, 500);
+    apply_epoch(&records, 1, EARLY_EPOCH);
+    apply_end(&records, 2, EARLY_EPOCH, LEFT_MS);
+    CU_ASSERT_EQUAL(cw_time_diff_ms(applied_epoch(&records)->end_read_at,
+                                    records.clock.now),
+                    500);
+    CU_ASSERT_EQUAL(
+        cw_replica_epoch_lease_left_ms(applied_epoch(&records), "w"), ROW_MS);
+    CU_ASSERT_EQUAL(
+        cw_replica_epoch_lease_left_ms(applied_epoch(&records), "v"), LEFT_MS);
     CU_ASSERT_EQUAL(
-        cw_time_diff_ms(folded(&fold)->end_read_at, fold.clock.now), 500);
-    CU_ASSERT_EQUAL(cw_replica_epoch_lease_left_ms(folded(&fold), "w"),
-                    ROW_MS);
-    CU_ASSERT_EQUAL(cw_replica_epoch_lease_left_ms(folded(&fold), "v"),
-                    LEFT_MS);
-    CU_ASSERT_EQUAL(cw_replica_epoch_lease_left_ms(folded(&fold), NULL),
-                    LEFT_MS);
-    cw_replica_free(fold.replica);
+        cw_replica_epoch_lease_left_ms(applied_epoch(&records), NULL),
+        LEFT_MS);
+    cw_replica_free(records.replica);
 }
 
 /* Guards against a later epoch that is replaced by an earlier one. */
 static void
 test_older_records_change_nothing(void)
 {
-    struct fold fold;
+    struct record_fixture records;
 
-    fold_begin(&fold);
-    fold_epoch(&fold, 5, LATE_EPOCH);
-    fold_epoch(&fold, 4, EARLY_EPOCH);
-    CU_ASSERT_EQUAL(folded(&fold)->epoch, LATE_EPOCH);
-    CU_ASSERT_EQUAL(folded(&fold)->settled_below, LATE_EPOCH);
-    fold_end(&fold, 7, LATE_EPOCH, LEFT_MS);
-    fold_end(&fold, 6, EARLY_EPOCH, 1);
-    CU_ASSERT_EQUAL(folded(&fold)->end_epoch, LATE_EPOCH);
-    CU_ASSERT_EQUAL(folded(&fold)->left_ms, LEFT_MS);
-    cw_replica_free(fold.replica);
+    record_fixture_begin(&records);
+    apply_epoch(&records, 5, LATE_EPOCH);
+    apply_epoch(&records, 4, EARLY_EPOCH);
+    CU_ASSERT_EQUAL(applied_epoch(&records)->epoch, LATE_EPOCH);
+    CU_ASSERT_EQUAL(applied_epoch(&records)->settled_below, LATE_EPOCH);
+    apply_end(&records, 7, LATE_EPOCH, LEFT_MS);
+    apply_end(&records, 6, EARLY_EPOCH, 1);
+    CU_ASSERT_EQUAL(applied_epoch(&records)->end_epoch, LATE_EPOCH);
+    CU_ASSERT_EQUAL(applied_epoch(&records)->left_ms, LEFT_MS);
+    cw_replica_free(records.replica);
 }
 
 /* Guards against an end of an earlier epoch that hides that the VM is the
@@ -179,18 +183,18 @@
 static void
 test_a_late_end_does_not_end_a_newer_epoch(void)
 {
-    struct fold fold;
+    struct record_fixture records;
 
-    fold_begin(&fold);
-    fold_epoch(&fold, 1, EARLY_EPOCH);
-    fold_epoch(&fold, 2, LATE_EPOCH);
-    fold_end(&fold, 3, EARLY_EPOCH, 0);
-    CU_ASSERT_FALSE(cw_replica_epoch_has_ended(folded(&fold)));
-    fold_end(&fold, 4, LATE_EPOCH, LEFT_MS);
-    CU_ASSERT_TRUE(cw_replica_epoch_has_ended(folded(&fold)));
-    fold_epoch(&fold, 5, HIGH_EPOCH);
-    CU_ASSERT_FALSE(cw_replica_epoch_has_ended(folded(&fold)));
-    cw_replica_free(fold.replica);
+    record_fixture_begin(&records);
+    apply_epoch(&records, 1, EARLY_EPOCH);
+    apply_epoch(&records, 2, LATE_EPOCH);
+    apply_end(&records, 3, EARLY_EPOCH, 0);
+    CU_ASSERT_FALSE(cw_replica_epoch_has_ended(applied_epoch(&records)));
+    apply_end(&records, 4, LATE_EPOCH, LEFT_MS);
+    CU_ASSERT_TRUE(cw_replica_epoch_has_ended(applied_epoch(&records)));
+    apply_epoch(&records, 5, HIGH_EPOCH);
+    CU_ASSERT_FALSE(cw_replica_epoch_has_ended(applied_epoch(&records)));
+    cw_replica_free(records.replica);
 }
 
 /* Guards against a drop that removes a later epoch, and against one that
@@ -198,20 +202,20 @@
 static void
 test_a_drop_removes_what_was_before_it(void)
 {
-    struct fold fold;
+    struct record_fixture records;
 
-    fold_begin(&fold);
-    fold_epoch(&fold, 2, LATE_EPOCH);
-    fold_bytes(&fold, 1, "oa", NULL);
-    CU_ASSERT_PTR_NOT_NULL(folded(&fold));
-    fold_bytes(&fold, 3, "oa", NULL);
-    fold_bytes(&fold, 4, "ea", NULL);
-    CU_ASSERT_PTR_NULL(folded(&fold));
-    fold_end(&fold, 5, LATE_EPOCH, LEFT_MS);
-    CU_ASSERT_EQUAL(folded(&fold)->epoch, 0);
-    fold_epoch(&fold, 6, HIGH_EPOCH);
-    CU_ASSERT_FALSE(cw_replica_epoch_has_ended(folded(&fold)));
-    cw_replica_free(fold.replica);
+    record_fixture_begin(&records);
+    apply_epoch(&records, 2, LATE_EPOCH);
+    apply_bytes(&records, 1, "oa", NULL);
+    CU_ASSERT_PTR_NOT_NULL(applied_epoch(&records));
+    apply_bytes(&records, 3, "oa", NULL);
+    apply_bytes(&records, 4, "ea", NULL);
+    CU_ASSERT_PTR_NULL(applied_epoch(&records));
+    apply_end(&records, 5, LATE_EPOCH, LEFT_MS);
+    CU_ASSERT_EQUAL(applied_epoch(&records)->epoch, 0);
+    apply_epoch(&records, 6, HIGH_EPOCH);
+    CU_ASSERT_FALSE(cw_replica_epoch_has_ended(applied_epoch(&records)));
+    cw_replica_free(records.replica);
 }
 
 /* Guards against a record that is applied in part although it cannot be
@@ -219,21 +223,21 @@
 static void
 test_unreadable_records_change_nothing(void)
 {
-    struct fold fold;
+    struct record_fixture records;
     GByteArray *junk;
 
-    fold_begin(&fold);
-    fold_epoch(&fold, 1, EARLY_EPOCH);
+    record_fixture_begin(&records);
+    apply_epoch(&records, 1, EARLY_EPOCH);
     for (unsigned i = 0; i < 2; i++) {
         junk = g_byte_array_new();
         g_byte_array_append(junk, (const guint8 *)"?", 1);
-        fold_bytes(&fold, 2 + i, i == 0 ? "oa" : "ea", junk);
+        apply_bytes(&records, 2 + i, i == 0 ? "oa" : "ea", junk);
     }
-    CU_ASSERT_EQUAL(folded(&fold)->epoch, EARLY_EPOCH);
-    CU_ASSERT_FALSE(cw_replica_epoch_has_ended(folded(&fold)));
-    fold_end(&fold, 4, EARLY_EPOCH, LEFT_MS);
-    CU_ASSERT_TRUE(cw_replica_epoch_has_ended(folded(&fold)));
-    cw_replica_free(fold.replica);
+    CU_ASSERT_EQUAL(applied_epoch(&records)->epoch, EARLY_EPOCH);
+    CU_ASSERT_FALSE(cw_replica_epoch_has_ended(applied_epoch(&records)));
+    apply_end(&records, 4, EARLY_EPOCH, LEFT_MS);
+    CU_ASSERT_TRUE(cw_replica_epoch_has_ended(applied_epoch(&records)));
+    cw_replica_free(records.replica);
 }
 
 /* ---- takeover ---- */
@@ -283,8 +287,9 @@
            ms >= expected_ms - TOLERANCE_MS;
 }
 
-/* Guards against leases that the next owner cannot know of, because the append
- * of the epoch under which they were given was refused or had no answer. */
+/* Guards against leases that the next owner does not consider, because the
+ * append of the epoch under which they were granted was refused or had no
+ * answer. */
 static void
 test_no_owner_is_active_before_its_epoch_is_stored(void)
 {
@@ -322,7 +327,7 @@
     fixture.owner->join_in_flight = true;
     run(&fixture, 1000);
     CU_ASSERT_EQUAL_FATAL(epoch_of(&fixture, "this")->end_epoch, EARLY_EPOCH);
-    CU_ASSERT_TRUE(epoch_of(&fixture, "this")->left_ms <= GIVEN_MAX_MS);
+    CU_ASSERT_TRUE(epoch_of(&fixture, "this")->left_ms <= GRANTED_MAX_MS);
     offset = epoch_of(&fixture, "this")->end_offset;
     run(&fixture, 5000);
     CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->end_offset, offset);
@@ -350,8 +355,9 @@
     fixture.store.answer_status = CW_STORE_OK;
     run(&fixture, 1500);
     CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->end_epoch, EARLY_EPOCH);
-    /* The time left was counted down meanwhile. */
-    CU_ASSERT_TRUE(epoch_of(&fixture, "this")->left_ms <= GIVEN_MAX_MS - 1000);
+    /* The time left was reduced by the time that has passed. */
+    CU_ASSERT_TRUE(epoch_of(&fixture, "this")->left_ms <=
+                   GRANTED_MAX_MS - 1000);
     offset = epoch_of(&fixture, "this")->end_offset;
     run(&fixture, 2000);
     CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->end_offset, offset);
@@ -389,9 +395,8 @@
     fixture_end(&fixture);
 }
 
-/* Guards against a worker that dies together with its owner and is waited for
- * as if it had received a lease at that moment: it received its last one
- * before. */
+/* Guards against waiting for a worker that fails together with its owner as if
+ * it had received a lease at that moment: it received its last one before. */
 static void
 test_a_worker_that_is_not_unresponsive_yet_has_a_row(void)
 {
@@ -422,7 +427,7 @@
 }
 
 /* Guards against the same for a worker whose last run has ended, while the
- * next owner does not know that, because the end was not stored. */
+ * next owner has not received the end, because it was not stored. */
 static void
 test_a_worker_without_runs_has_a_row(void)
 {
@@ -453,7 +458,7 @@
 }
 
 /* Guards against an end with too short a bound, written by a VM that gained
- * the shard and lost it again before it was active: the leases that it gave
+ * the shard and lost it again before it was active: the leases that it granted
  * under its epoch before that still hold. */
 static void
 test_an_epoch_without_activity_ends_with_the_one_before(void)
@@ -475,12 +480,13 @@
     fixture.owner->join_in_flight = true;
     run(&fixture, 1000);
     CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->end_epoch, epoch);
-    CU_ASSERT_TRUE(epoch_of(&fixture, "this")->left_ms > GIVEN_MAX_MS - 1000);
+    CU_ASSERT_TRUE(epoch_of(&fixture, "this")->left_ms >
+                   GRANTED_MAX_MS - 1000);
     fixture_end(&fixture);
 }
 
-/* Guards against two owners that both extend leases: the earlier one learns of
- * the later one when it reads that one's epoch, before its next append. */
+/* Guards against two owners that both extend leases: the earlier one detects
+ * the later one when it reads the later epoch, before its next append. */
 static void
 test_an_owner_that_reads_a_later_epoch_drops_ownership(void)
 {
@@ -590,7 +596,8 @@
     struct fixture fixture;
 
     fixture_with_state(&fixture);
-    run(&fixture, GIVEN_MAX_MS); /* leases of a former process have expired */
+    run(&fixture,
+        GRANTED_MAX_MS); /* leases of a former process have expired */
     put_epoch(&fixture, "oa", EARLY_EPOCH, 1);
     put_epoch(&fixture, "ob", LATE_EPOCH, 1);
     put_end(&fixture, "ea", EARLY_EPOCH, 2 * ROW_MS, NULL);
@@ -599,7 +606,7 @@
     CU_ASSERT_TRUE(is_about(lease_left_ms(&fixture), 2 * ROW_MS));
     fixture_end(&fixture);
     fixture_with_state(&fixture);
-    run(&fixture, GIVEN_MAX_MS);
+    run(&fixture, GRANTED_MAX_MS);
     put_epoch(&fixture, "ob", LATE_EPOCH, 1);
     put_end(&fixture, "eb", LATE_EPOCH, LEFT_MS, "v");
     take_over(&fixture);
@@ -607,8 +614,9 @@
     fixture_end(&fixture);
 }
 
-/* Guards against an end that lowers the bound of a lease that this owner gave
- * itself, or does not lower that of a worker that has not answered it. */
+/* Guards against an end that lowers the bound of a lease that this owner
+ * granted itself, or does not lower that of a worker that has not answered it.
+ */
 static void
 test_a_late_end_lowers_the_bound_of_unanswered_workers_only(void)
 {
@@ -617,7 +625,7 @@
 
     for (unsigned answered = 0; answered < 2; answered++) {
         fixture_with_state(&fixture);
-        run(&fixture, GIVEN_MAX_MS);
+        run(&fixture, GRANTED_MAX_MS);
         put_epoch(&fixture, "oa", EARLY_EPOCH, 1);
         take_over(&fixture);
         CU_ASSERT_TRUE(is_about(lease_left_ms(&fixture), OPEN_BOUND_MS));
@@ -642,8 +650,8 @@
     }
 }
 
-/* Guards against an end that hides that nothing is known of owners before that
- * epoch. */
+/* Guards against an end that hides that there are no records of owners before
+ * that epoch. */
 static void
 test_without_a_settled_epoch_an_end_is_not_enough(void)
 {
@@ -698,7 +706,7 @@
     CU_ASSERT_EQUAL(epoch_of(&fixture, "this")->settled_below, EARLY_EPOCH);
     put_drop(&fixture, "oa");
     replace_owner(&fixture, "this");
-    CU_ASSERT_TRUE(lease_left_ms(&fixture) <= GIVEN_MAX_MS);
+    CU_ASSERT_TRUE(lease_left_ms(&fixture) <= GRANTED_MAX_MS);
     fixture_end(&fixture);
 }
 
@@ -716,7 +724,7 @@
         struct fixture fixture;
 
         fixture_with_state(&fixture);
-        run(&fixture, GIVEN_MAX_MS);
+        run(&fixture, GRANTED_MAX_MS);
         put_epoch(&fixture, "oa", EARLY_EPOCH, 1);
         put(&fixture, CW_JOBS_TOPIC, "nw", bytes);
         put_end(&fixture, "ea", EARLY_EPOCH, lefts_ms[i][1], NULL);
@@ -727,9 +735,9 @@
     }
 }
 
-/* Guards against a task that runs twice.  An earlier owner gave a full lease
- * to a worker whose work then ended; a start sent by the next owner gives a
- * short one, which does not shorten the other. */
+/* Guards against a task that runs twice.  An earlier owner granted a full
+ * lease to a worker whose work then ended; a start sent by the next owner
+ * grants a short one, which does not shorten the other. */
 static void
 test_a_start_does_not_shorten_an_earlier_lease(void)
 {
@@ -752,7 +760,8 @@
     answer_last(CW_TARGET_UNKNOWN);
     run(&fixture, 400);
     CU_ASSERT_EQUAL_FATAL(unanswered->len, 1);
-    /* "a" has extended the lease just before the worker saw the later token.
+    /* "a" has extended the lease just before the worker received the later
+     * token.
      */
     answered = fixture.clock.now;
     g_array_set_size(unanswered, 0);
@@ -765,7 +774,7 @@
 
 /* Fails the polls in flight. */
 static void
-fail_looks(void)
+fail_polls(void)
 {
     const struct cw_target_answer none = {.status = CW_TARGET_UNKNOWN};
 
@@ -784,7 +793,7 @@
 }
 
 /* Guards against waiting 0.5 s twice: the bound includes them for orders that
- * earlier owners sent, and a stop sent by this owner gives no lease. */
+ * earlier owners sent, and a stop sent by this owner grants no lease. */
 static void
 test_a_stop_to_an_unresponsive_worker_does_not_raise_its_bound(void)
 {
@@ -802,7 +811,7 @@
     run(&fixture, 100);
     CU_ASSERT_TRUE_FATAL(target->poll_in_flight);
     CU_ASSERT_TRUE_FATAL(target->orders_in_flight > 0);
-    fail_looks();
+    fail_polls();
     CU_ASSERT_EQUAL(target->unanswered_polls, 1);
     CU_ASSERT_EQUAL(cw_time_diff_ms(end, target->lease_end), 0);
     fixture_end(&fixture);
--- a/tests/test_gang_dcs.c
+++ b/tests/test_gang_dcs.c
@@ -65,8 +65,8 @@
     }
 }
 
-/* Guards against a gang that waits for ever as it fits into no data centre,
- * and against members in more of them than it needs. */
+/* Guards against a gang that waits without limit as it fits into no data
+ * centre, and against members in more data centres than the gang needs. */
 static void
 test_a_gang_beyond_a_data_centre_uses_the_fewest(void)
 {
--- a/tests/test_group.c
+++ b/tests/test_group.c
@@ -231,9 +231,10 @@
     vm_end(&vm);
 }
 
-/* When all VMs start at the same time, they know nothing of each other. */
+/* When all VMs start at the same time, none has read another's announcement.
+ */
 static void
-test_a_member_leaves_when_it_learns_that_it_is_weak(void)
+test_a_member_leaves_when_it_reads_that_it_is_weak(void)
 {
     struct vm vm;
 
@@ -314,7 +315,7 @@
 }
 
 /* The present owner is active until it is fenced, so the next one fences it
- * only when it has read the logs. */
+ * only after it has read the logs. */
 static void
 test_a_vm_that_is_behind_reads_before_it_fences_the_owner(void)
 {
@@ -327,7 +328,7 @@
         heartbeat(&vm);
     }
     vm.store.page_records_max =
-        1; /* one record per answer keeps the VM far behind */
+        1; /* with one record per answer the VM stays far behind */
     vm.owner->generation = 7;
     owner_take_over(vm.owner, vm.clock.now);
     tick_owner(&vm, 300);
@@ -346,8 +347,8 @@
     {"joins", test_a_weak_vm_joins_when_no_owner_is_active},
     {"not reading", test_time_without_reading_does_not_count},
     {"weak owner leaves", test_a_weak_owner_leaves_when_a_stronger_vm_starts},
-    {"learns that it is weak",
-     test_a_member_leaves_when_it_learns_that_it_is_weak},
+    {"reads that it is weak",
+     test_a_member_leaves_when_it_reads_that_it_is_weak},
     {"never weak", test_some_vms_are_never_weak},
     {"announces", test_a_vm_announces_itself_once_and_again_if_refused},
     {"heartbeats", test_heartbeats_are_due_only_where_a_vm_is_weak},
--- a/tests/test_headroom.c
+++ b/tests/test_headroom.c
@@ -6,7 +6,8 @@
 
 enum { USED = 1000, START_MS = 100000 };
 
-/* What urgent work uses is reserved at once, whatever was reserved before. */
+/* The capacity that urgent work uses is reserved at once, whatever was
+ * reserved before. */
 static void
 test_what_is_used_is_reserved(void)
 {
@@ -44,8 +45,8 @@
     CU_ASSERT_TRUE(cw_headroom_reserved(&headroom) < USED / 20.0);
 }
 
-/* What new jobs request is counted before they use anything, and for some
- * seconds only. */
+/* The capacity that new jobs request is counted before they use any, and for
+ * some seconds only. */
 static void
 test_arrivals_count_for_some_seconds(void)
 {
@@ -86,7 +87,7 @@
     CU_ASSERT_EQUAL(cw_headroom_reserved(&headroom), USED + arriving);
 }
 
-/* After a gap of a minute without observations nothing from before counts. */
+/* After a minute without observations no earlier observation counts. */
 static void
 test_a_long_gap_resets_the_forecast(void)
 {
--- a/tests/test_hints.c
+++ b/tests/test_hints.c
@@ -1,13 +1,13 @@
 /* Ends of runs that an owner received and could not store.
  *
  * Guards against a task that runs a second time, 12 s later, although its end
- * was received.  A data centre was disconnected together with the owner's VM
- * and a worker that was draining.  The owner still received the end of the
- * task, could not store it, and was replaced; then the worker shut down.  The
- * next owner waited 12 s for the worker's lease to expire and ran the task
- * again, and in two of twelve runs of one test day callers gave up on jobs
- * that made no progress meanwhile.  Here the next owner, which the worker
- * never answers, must know the end. */
+ * was received.  If a data centre is disconnected together with the owner's VM
+ * and a draining worker, the owner still receives the end of the task but
+ * cannot store it, and is replaced; then the worker shuts down.  The next
+ * owner would wait 12 s for the worker's lease to expire and run the task
+ * again; in two of twelve runs of one test day callers gave up on jobs that
+ * made no progress in that time.  In these tests the worker never answers the
+ * next owner, which has to apply the end. */
 #include "test_main.h"
 
 #include "owner_fixture.h"
@@ -76,14 +76,14 @@
     CU_ASSERT_EQUAL(the_job(fixture)->runs, TASKS);
 }
 
-/* Disconnected from the store, the owner receives ends, and is replaced; the
- * worker drains, or stays. */
+/* Makes the owner receive ends while the store does not answer, and lose its
+ * ownership.  `draining`: the worker is draining. */
 static void
-receive_ends_while_disconnected(struct fixture *fixture, bool leaves)
+receive_ends_while_disconnected(struct fixture *fixture, bool draining)
 {
     fixture_with_runs(fixture);
     fixture->store.answer_status = CW_STORE_UNKNOWN;
-    the_worker(fixture)->draining = leaves;
+    the_worker(fixture)->draining = draining;
     run_answering(fixture, 200, DONE);
     CU_ASSERT_EQUAL(step_of(the_job(fixture))->left, TASKS - DONE);
     owner_drop_ownership(fixture->owner, "test");
@@ -107,7 +107,7 @@
 }
 
 static void
-test_the_next_owner_knows_ends_that_could_not_be_stored(void)
+test_the_next_owner_receives_ends_that_could_not_be_stored(void)
 {
     struct fixture fixture;
 
@@ -122,9 +122,10 @@
     fixture_end(&fixture);
 }
 
-/* The former owner reaches the store only after the next one took over. */
+/* The former owner reaches the store only after the next one has taken over.
+ */
 static void
-test_an_owner_that_is_active_already_applies_them(void)
+test_an_owner_that_is_active_already_applies_hints(void)
 {
     struct fixture fixture;
     struct store_model_page page;
@@ -153,10 +154,11 @@
                                     .length = value->len,
                                     .offset = 1000};
     cw_replica_apply(fixture.replica, &hint);
-    cw_replica_apply(fixture.replica, &hint); /* a record may be given twice */
+    cw_replica_apply(fixture.replica,
+                     &hint); /* a record may be delivered twice */
     CU_ASSERT_EQUAL(step_of(the_job(&fixture))->left, TASKS - DONE);
     CU_ASSERT_EQUAL(the_job(&fixture)->runs, TASKS - DONE);
-    /* The worker lists them as well. */
+    /* The worker lists the same ends. */
     run_answering(&fixture, 200, DONE);
     CU_ASSERT_EQUAL(step_of(the_job(&fixture))->left, TASKS - DONE);
     g_free(key);
@@ -165,8 +167,8 @@
 }
 
 /* A worker that stays lists its ends to the next owner, so that they need no
- * hints: 2,300 of them after an outage were 200 kB for each of 147 VMs to
- * read. */
+ * hints: after an outage, hints for 2,300 ends would be 200 kB for each of 147
+ * VMs to read. */
 static void
 test_ends_of_workers_that_stay_become_no_hints(void)
 {
@@ -266,8 +268,8 @@
 }
 
 static const struct test tests[] = {
-    {"next owner", test_the_next_owner_knows_ends_that_could_not_be_stored},
-    {"active already", test_an_owner_that_is_active_already_applies_them},
+    {"next owner", test_the_next_owner_receives_ends_that_could_not_be_stored},
+    {"active already", test_an_owner_that_is_active_already_applies_hints},
     {"worker stays", test_ends_of_workers_that_stay_become_no_hints},
     {"stored", test_stored_ends_become_no_hints},
     {"former run", test_a_former_run_counts_only_if_it_is_done},
--- a/tests/test_idle.c
+++ b/tests/test_idle.c
@@ -6,12 +6,13 @@
 
 enum {
     CHECK_INTERVAL_MS = 250,
-    /* The platform tolerates that a job is idle for so long while there is
+    /* Time for which the platform tolerates that a job is idle while there is
      * free capacity. */
     IDLE_MAX_MS = 3000,
-    /* The part of it for the placement, the store and the start. */
+    /* Part of that time for the placement, the store and the start. */
     START_MARGIN_MS = 500,
-    /* During a burst of urgent work capacity is free for so long at a time. */
+    /* During a burst of urgent work capacity is free for this long at a time.
+     */
     BURST_GAP_MS = 1000,
     /* Delay of answers. */
     ANSWER_DELAY_MS = 750
@@ -47,8 +48,8 @@
     return idle;
 }
 
-/* Guards against reasons to withhold capacity that add up to more than a job
- * may be idle. */
+/* Guards against reasons to withhold capacity that add up to more time than a
+ * job may be idle. */
 static void
 test_a_job_with_free_capacity_is_overdue_in_time(void)
 {
@@ -58,7 +59,7 @@
                    IDLE_MAX_MS - START_MARGIN_MS);
 }
 
-/* The same if there was no free capacity before. */
+/* Does the same without free capacity before. */
 static void
 test_capacity_counts_from_when_it_is_free(void)
 {
@@ -69,8 +70,8 @@
                    20000 + IDLE_MAX_MS - START_MARGIN_MS);
 }
 
-/* Guards against using the headroom for urgent work each time that some of it
- * is free for a moment. */
+/* Guards against using the headroom for urgent work whenever some of it is
+ * briefly free. */
 static void
 test_capacity_for_moments_does_not_count(void)
 {
@@ -98,7 +99,7 @@
                    IDLE_MAX_MS - START_MARGIN_MS);
 }
 
-/* Guards against an old check that counts for ever. */
+/* Guards against an old check that counts without limit. */
 static void
 test_an_old_check_does_not_count(void)
 {
@@ -138,7 +139,7 @@
     {"short gap", test_a_short_gap_does_not_restart_the_time},
     {"old check", test_an_old_check_does_not_count},
     {"runs", test_a_job_that_runs_is_not_overdue},
-    {"told", test_free_time_does_not_include_gaps},
+    {"free time", test_free_time_does_not_include_gaps},
 };
 
 TEST_MAIN("idle", tests)
--- a/tests/test_idle_causes.c
+++ b/tests/test_idle_causes.c
@@ -1,28 +1,29 @@
-/* Causes of idle jobs: work that has nothing running although there is free
+/* Causes of idle jobs: jobs without a running task although there is free
  * capacity.
  *
- * On 350 workers with real processes, accepted jobs were idle for more than
- * 3 s while tasks of theirs could run.  Answers are late and connections are
- * reset on busy machines without any fault, and the service is full for
- * minutes.  Several limits that are each within what is tolerated added up, or
- * had no end:
- * - Starts without an answer were retried and given up by their answers alone,
- *   even if the worker listed the run.
- * - The polls that a gang waited for were themselves delayed by the worker:
+ * On busy machines answers are late and connections are reset without any
+ * fault, and the service is full for minutes.  Several limits, each within the
+ * tolerated time, may then add up, or have no end, so that accepted jobs are
+ * idle for more than 3 s while tasks of theirs could run, as with 350 workers
+ * with real processes:
+ * - Starts without an answer are retried and given up by their answers alone,
+ *   even if the worker lists the run.
+ * - The polls that a gang waits for are themselves delayed by the worker:
  *   gangs of 69 were idle for 3.5 s because of one run that was stopped
  *   unconfirmed.
- * - Reserved capacity was withheld from a job however long it had been idle:
- *   at 1.2 times the traffic, without any fault, jobs waited for up to 11 s
- *   while there was headroom for hundreds of their tasks.
- * Each case below failed then, and so did 98 of 100 of the emulator's calm
- * days with wide jobs; since then none has. */
+ * - Reserved capacity is withheld from a job however long it has been idle: at
+ *   1.2 times the traffic, without any fault, jobs waited for up to 11 s while
+ *   there was headroom for hundreds of their tasks.
+ *
+ * With these faults each test below fails, and so do 98 of 100 of the
+ * emulator's calm days with wide jobs; without them none does. */
 #include "test_main.h"
 
 #include "owner_site.h"
 
 enum {
-    /* A job may be idle for 3 s; the rest is for a placement pass, the store
-     * and the start. */
+    /* A job may be idle for 3 s; the limit is lower by the time that a
+     * placement pass, the store and the start take. */
     PLACED_WITHIN_MS = 2500,
     STEP_MS = 50
 };
@@ -125,8 +126,8 @@
 }
 
 /* Guards against runs that are given up within milliseconds, as a reset
- * connection fails at once.  To give up a run means to stop its gang, which
- * takes up to a second. */
+ * connection fails at once.  Giving up a run stops its gang, which takes up to
+ * a second. */
 static void
 test_starts_that_fail_at_once_are_delayed(void)
 {
@@ -237,9 +238,9 @@
 }
 
 /* Guards against gangs that are stopped because a member stays at 100 percent
- * until the longest member has done its work.  This happened up to six times
- * in a row where a few tasks in a hundred take several times as long as
- * others. */
+ * until the longest member has done its work.  Where a few tasks in a hundred
+ * take several times as long as others, a gang would be stopped up to six
+ * times in a row. */
 static void
 test_a_member_that_waits_for_the_longest_is_not_stalled(void)
 {
@@ -268,7 +269,8 @@
     site_end(&site);
 }
 
-/* The same for a worker that hangs when all members are at 100 percent. */
+/* Does the same for a worker that hangs when all members are at 100 percent.
+ */
 static void
 test_a_gang_that_does_not_end_is_stalled(void)
 {
@@ -309,7 +311,7 @@
     return ms;
 }
 
-/* Three of twelve workers are free; urgent work runs on the others. */
+/* Adds a job that waits while urgent work runs on nine of twelve workers. */
 static struct owner_job *
 wait_in_full_service(struct site *site, const struct cw_step_spec *like)
 {
@@ -319,7 +321,7 @@
     return add_job(site, 2, like);
 }
 
-/* As if urgent work had just arrived in a burst. */
+/* Reserves headroom as after a burst of urgent work. */
 static void
 reserve_headroom(struct site *site, struct owner_target *target)
 {
--- a/tests/test_idle_jobs.c
+++ b/tests/test_idle_jobs.c
@@ -2,10 +2,10 @@
  *
  * Guards against workers that are avoided because several tasks of one job
  * failed there.  A worker on which tasks of two jobs fail in a row is avoided
- * for 7 s.  When two tasks of one job were counted like that, a job whose
- * tasks all fail by its own fault blocked a worker of each rack, and a gang
- * that needs one rack waited for 7 s although three racks were idle (the
- * emulator's calm day 900022). */
+ * for 7 s.  If two tasks of one job were counted like that, a job of which all
+ * tasks fail would block a worker of each rack, and a gang that needs one rack
+ * would wait for 7 s although three racks are idle (the emulator's calm day
+ * 900022). */
 #include "test_main.h"
 
 #include "owner/internal/owner_crashes.h"
@@ -208,8 +208,8 @@
 }
 
 /* Guards against false reports by a VM that was frozen or cut off from the
- * store: another VM may be the owner and have run the jobs that this one still
- * knows as waiting. */
+ * store: another VM may be the owner and have run the jobs that are still
+ * waiting in this VM's state. */
 static void
 test_an_unconfirmed_owner_reports_no_idle_jobs(void)
 {
@@ -220,7 +220,7 @@
     CU_ASSERT_EQUAL(check_after(&site, 3500).waiting, 1);
     site.clock.now = cw_time_add_ms(site.clock.now, 8000);
     owner_idle_tick(site.owner, site.clock.now);
-    CU_ASSERT_EQUAL(site.owner->waits.jobs, 0);
+    CU_ASSERT_EQUAL(site.owner->idle_stats.jobs, 0);
     CU_ASSERT_EQUAL(check_after(&site, 600).waiting, 1);
     site_end(&site);
 }
--- a/tests/test_late_ends.c
+++ b/tests/test_late_ends.c
@@ -4,7 +4,8 @@
 
 #include "owner_site.h"
 
-/* A job of one task whose first run was given up and whose second is placed.
+/* Begins a job of one task whose first run was given up and whose second is
+ * placed.
  */
 static struct owner_job *
 give_up(struct site *site, struct owner_target **first)
@@ -89,7 +90,7 @@
     site_end(&site);
 }
 
-/* Extending the lease could hide that it was over. */
+/* An extended lease could hide that it had expired. */
 static void
 test_first_poll_extends_no_lease_and_precedes_placement(void)
 {
@@ -165,7 +166,7 @@
     return until_ms;
 }
 
-/* Time when no worker is avoided any more. */
+/* Returns a time when no worker is avoided any more. */
 static struct timespec
 later(const struct site *site)
 {
@@ -173,7 +174,7 @@
 }
 
 /* Guards against a start that is delayed by a cut link and carried out when
- * the link heals, after the task was done elsewhere; seen with real processes.
+ * the link heals, after the task was done elsewhere, as with real processes.
  * The lease in the start was over, but a worker checks only its own lease,
  * which had been extended for other work.  So before a lease is extended the
  * worker has to confirm stops of the runs whose starts may still arrive. */
--- a/tests/test_lease_notes.c
+++ b/tests/test_lease_notes.c
@@ -25,7 +25,8 @@
                                WORKER);
 }
 
-/* An owner with TASKS runs on a worker that has left the store's list. */
+/* Makes the VM the owner of TASKS runs on a worker that was removed from the
+ * store's list. */
 static void
 take_over_with_runs(struct fixture *fixture)
 {
@@ -100,7 +101,7 @@
     CU_ASSERT_EQUAL_FATAL(target->lease_note, OWNER_LEASE_NOTE_NONE);
     CU_ASSERT_EQUAL(target->unanswered_polls, 0);
     target->unanswered_polls = 1;
-    target->unresponsive_since = fixture.clock.now;
+    target->unanswered_since = fixture.clock.now;
     run(&fixture, 900);
     CU_ASSERT_EQUAL(target->lease_note, OWNER_LEASE_NOTE_NONE);
     run(&fixture, 300);
@@ -118,12 +119,12 @@
     make_worker_reachable(&fixture);
     run_answering_polls(&fixture, 500);
     target = the_worker(&fixture);
-    fixture.owner->join_in_flight = true; /* joins confirm nothing any more */
+    fixture.owner->join_in_flight = true; /* no joins confirm ownership */
     fixture.store.answer_status = CW_STORE_REFUSED;
     run(&fixture, 1500);
     CU_ASSERT_FALSE(owner_may_order(fixture.owner, fixture.clock.now));
     target->unanswered_polls = 3;
-    target->unresponsive_since = cw_time_add_ms(fixture.clock.now, -1500);
+    target->unanswered_since = cw_time_add_ms(fixture.clock.now, -1500);
     run(&fixture, 500);
     CU_ASSERT_EQUAL(target->lease_note, OWNER_LEASE_NOTE_NONE);
     fixture_end(&fixture);
@@ -190,9 +191,10 @@
     fixture_end(&fixture);
 }
 
-/* A new owner obeys a note that an earlier owner has written. */
+/* A new owner does not extend a lease for which an earlier owner has written a
+ * note. */
 static void
-test_new_owner_obeys_note(void)
+test_new_owner_applies_note(void)
 {
     struct fixture fixture;
 
@@ -211,7 +213,7 @@
     fixture_end(&fixture);
 }
 
-/* The same for a worker without runs. */
+/* Does the same for a worker without runs. */
 static void
 test_worker_without_runs_waits_until_note_is_dropped(void)
 {
@@ -263,13 +265,13 @@
     fixture_end(&fixture);
 }
 
-/* Guards against waiting for the whole bound again after each change of owner.
- * A job had no runs for 18.7 s, until its callers gave up: the owner was cut
- * off together with a worker, another VM wrote a note with 16.1 s left, and
- * the first VM, which took over again 4 s later, waited 16.0 s from when it
- * read the note, as the remaining time was never updated.  With that fault
- * each of three VMs here, which take over 4 s apart, waits for the whole
- * bound. */
+/* Guards against waiting for the whole bound again after each change of owner,
+ * if the remaining time in a note is never updated.  With that fault a job had
+ * no runs for 18.7 s, until its callers gave up: the owner was cut off
+ * together with a worker, another VM wrote a note with 16.1 s left, and the
+ * first VM, which took over again 4 s later, waited 16.0 s from when it read
+ * the note.  Each of the three VMs here, which take over 4 s apart, waits for
+ * the whole bound. */
 static void
 test_alternating_owners_do_not_restart_wait(void)
 {
@@ -341,7 +343,7 @@
 /* A record that a VM did not read because history was dropped may have dropped
  * a note. */
 static void
-test_notes_are_forgotten_when_history_is_dropped(void)
+test_notes_are_discarded_when_history_is_dropped(void)
 {
     struct fixture fixture;
     GByteArray *nothing = g_byte_array_new();
@@ -490,13 +492,13 @@
     {"unconfirmed owner", test_unconfirmed_owner_writes_no_note},
     {"unknown result", test_note_with_unknown_result_ends_lease},
     {"returned worker", test_returned_worker_waits_until_note_is_dropped},
-    {"new owner", test_new_owner_obeys_note},
+    {"new owner", test_new_owner_applies_note},
     {"no runs", test_worker_without_runs_waits_until_note_is_dropped},
     {"read late", test_vm_that_reads_note_late_waits_longer},
     {"dropped with runs", test_note_is_dropped_with_runs},
     {"alternating owners", test_alternating_owners_do_not_restart_wait},
     {"missing removal", test_vm_without_note_removal_is_not_active},
-    {"history", test_notes_are_forgotten_when_history_is_dropped},
+    {"history", test_notes_are_discarded_when_history_is_dropped},
     {"delivered again", test_note_delivered_again_keeps_its_time},
     {"outcomes", test_notes_and_outcomes_take_turns},
     {"starts", test_starts_wait_until_note_is_dropped},
--- a/tests/test_leases.c
+++ b/tests/test_leases.c
@@ -10,16 +10,16 @@
     /* After this time no lease of owners before the first one can last. */
     SETTLED_MS = FIRST_BOUND_MS + 1000,
     /* The platform tolerates 3 s without progress after 4 s without faults:
-     * nothing may add to the lease that a start grants before its worker has
-     * confirmed a run. */
+     * the lease that a start grants before its worker has confirmed a run must
+     * not be extended. */
     UNCONFIRMED_MAX_MS = 5000,
     UNRESPONSIVE_MS = 1500
 };
 
-/* An owner that has been active for long, with runs on a worker that answers
- * it. */
+/* Begins a fixture in which the owner has been active for long, with runs on a
+ * worker that answers it. */
 static void
-bed_with_settled_owner(struct fixture *fixture)
+fixture_with_settled_owner(struct fixture *fixture)
 {
     fixture_begin(fixture);
     put_spec(fixture);
@@ -32,7 +32,7 @@
                           OWNER_LEASE_NOTE_NONE);
 }
 
-/* Another owner takes over, with the runs. */
+/* Makes another owner take over, with the runs. */
 static void
 replace_owner_with_runs(struct fixture *fixture, const char *vm)
 {
@@ -40,8 +40,8 @@
     CU_ASSERT_EQUAL_FATAL(the_job(fixture)->runs, TASKS);
 }
 
-/* Guards against jobs that wait for 12.6 s after a take-over for a worker that
- * answered the new owner and then died. */
+/* Guards against jobs that wait for 12.6 s after a takeover for a worker that
+ * answered the new owner and then failed. */
 static void
 test_answer_bounds_leases_of_earlier_owners(void)
 {
@@ -66,7 +66,7 @@
 {
     struct fixture fixture;
 
-    bed_with_settled_owner(&fixture);
+    fixture_with_settled_owner(&fixture);
     replace_owner_with_runs(&fixture, "this");
     CU_ASSERT_TRUE(lease_left_ms(&fixture) <= LEASE_MAX_MS);
     fixture_end(&fixture);
@@ -81,7 +81,7 @@
     struct fixture fixture;
     struct timespec end;
 
-    bed_with_settled_owner(&fixture);
+    fixture_with_settled_owner(&fixture);
     replace_owner_with_runs(&fixture, "this");
     make_worker_reachable(&fixture);
     end = the_worker(&fixture)->lease_end;
@@ -95,13 +95,13 @@
 }
 
 /* Guards against waiting for leases that a former owner could still extend,
- * after it has lost the ownership and its VM keeps running. */
+ * after it has lost the ownership while its VM continues to run. */
 static void
 test_former_owner_reports_end_of_extensions(void)
 {
     struct fixture fixture;
 
-    bed_with_settled_owner(&fixture);
+    fixture_with_settled_owner(&fixture);
     owner_drop_ownership(fixture.owner, "test");
     fixture.owner->join_in_flight =
         true; /* it does not gain the shard again */
@@ -166,7 +166,7 @@
 }
 
 /* Guards against leases that grow with each start sent while a poll is in
- * flight, so that the tasks of a dead worker wait longer. */
+ * flight, so that the tasks of a failed worker wait longer. */
 static void
 test_starts_do_not_extend_renewed_lease(void)
 {
@@ -220,7 +220,7 @@
     site_end(&site);
 }
 
-/* Guards against gangs that wait for a full lease for a worker that died
+/* Guards against gangs that wait for a full lease for a worker that failed
  * before it had confirmed a run. */
 static void
 test_unconfirmed_start_grants_short_lease(void)
@@ -265,8 +265,8 @@
 }
 
 /* Guards against a task that runs twice: a worker has crashed and started
- * again under its id, which the owner does not know, and by its new clock the
- * lease in a start is long. */
+ * again under its id, which the owner has not detected, and by its new clock
+ * the lease in a start is long. */
 static void
 test_start_may_reach_next_incarnation(void)
 {
--- a/tests/test_moves.c
+++ b/tests/test_moves.c
@@ -11,7 +11,7 @@
 static const struct cw_step_spec rest = {.tasks = RACKS * PER_RACK - MEMBERS,
                                          .accelerators = ACCELERATORS};
 
-/* The run has done one percent in the last second, and twenty percent per
+/* Makes the run slow: one percent in the last second, after twenty percent per
  * second before. */
 static void
 make_slow(struct site *site, struct owner_run *run)
--- a/tests/test_order_window.c
+++ b/tests/test_order_window.c
@@ -1,4 +1,4 @@
-/* Limit on the number of orders in flight.
+/* Limit on the number of outstanding orders.
  *
  * Guards against an owner that is overloaded by its own orders.  With 3,000
  * workers and half a core it reads answers so late that it resends orders that
@@ -26,13 +26,13 @@
     unsigned first;
 
     owner_order_window_reset(&order_window);
-    first = order_window.max_in_flight;
+    first = order_window.max_outstanding;
     answer_all(&order_window, 5);
     for (unsigned i = 0; i < ADJUSTMENTS; i++) {
         owner_order_window_adjust(&order_window);
     }
-    CU_ASSERT_TRUE(order_window.max_in_flight > 8 * first);
-    order_window.in_flight = 8 * first;
+    CU_ASSERT_TRUE(order_window.max_outstanding > 8 * first);
+    order_window.outstanding = 8 * first;
     CU_ASSERT_TRUE(owner_order_window_allows(&order_window, false));
 }
 
@@ -47,13 +47,13 @@
     for (unsigned i = 0; i < ADJUSTMENTS; i++) {
         owner_order_window_adjust(&order_window);
     }
-    CU_ASSERT_TRUE(order_window.max_in_flight < 128);
+    CU_ASSERT_TRUE(order_window.max_outstanding < 128);
     CU_ASSERT_TRUE(owner_order_window_allows(&order_window, false));
-    order_window.in_flight = order_window.max_in_flight;
+    order_window.outstanding = order_window.max_outstanding;
     CU_ASSERT_FALSE(owner_order_window_allows(&order_window, false));
     CU_ASSERT_TRUE(
         owner_order_window_allows(&order_window, true)); /* urgent work */
-    order_window.in_flight = 2 * order_window.max_in_flight;
+    order_window.outstanding = 2 * order_window.max_outstanding;
     CU_ASSERT_FALSE(owner_order_window_allows(&order_window, true));
 }
 
@@ -69,15 +69,15 @@
     for (unsigned i = 0; i < ADJUSTMENTS; i++) {
         owner_order_window_adjust(&order_window);
     }
-    lowest = order_window.max_in_flight;
+    lowest = order_window.max_outstanding;
     answer_all(&order_window, 5);
     for (unsigned i = 0; i < ADJUSTMENTS; i++) {
         owner_order_window_adjust(&order_window);
     }
-    CU_ASSERT_TRUE(order_window.max_in_flight > 8 * lowest);
+    CU_ASSERT_TRUE(order_window.max_outstanding > 8 * lowest);
 }
 
-/* Nothing is placed while too many orders are in flight. */
+/* Nothing is placed while too many orders are outstanding. */
 static void
 test_placement_waits_for_orders_in_flight(void)
 {
@@ -87,11 +87,11 @@
 
     site_begin(&site);
     job = add_job(&site, 1, &one);
-    site.owner->order_window.in_flight =
-        site.owner->order_window.max_in_flight;
+    site.owner->order_window.outstanding =
+        site.owner->order_window.max_outstanding;
     pass(&site, 10);
     CU_ASSERT_EQUAL(placed(job), 0);
-    site.owner->order_window.in_flight = 0;
+    site.owner->order_window.outstanding = 0;
     pass(&site, 10);
     CU_ASSERT_EQUAL(placed(job), 1);
     site_end(&site);
@@ -111,12 +111,12 @@
     for (unsigned i = 0; i < 3; i++) {
         owner_order_queue(site.owner, target, CW_ORDER_STOP, &task, i + 1);
     }
-    CU_ASSERT_EQUAL(site.owner->order_window.in_flight, 3);
+    CU_ASSERT_EQUAL(site.owner->order_window.outstanding, 3);
     owner_orders_send(site.owner, target, site.clock.now);
     answer_last(CW_TARGET_OK);
-    CU_ASSERT_EQUAL(site.owner->order_window.in_flight, 2);
+    CU_ASSERT_EQUAL(site.owner->order_window.outstanding, 2);
     owner_target_lost(site.owner, target, "test");
-    CU_ASSERT_EQUAL(site.owner->order_window.in_flight,
+    CU_ASSERT_EQUAL(site.owner->order_window.outstanding,
                     1); /* one is in flight */
     site_end(&site);
 }
--- a/tests/test_orders.c
+++ b/tests/test_orders.c
@@ -4,7 +4,7 @@
 
 #include "owner_site.h"
 
-/* A job of one task whose start is in flight. */
+/* Begins a job of one task and sends its start. */
 static struct owner_job *
 start_job(struct site *site)
 {
@@ -83,9 +83,9 @@
     return sent;
 }
 
-/* Guards against stops that are retried without a pause.  On
- * mpuk-wroclaw-grown scale-1 seed 202 8,826 stops were sent to workers that no
- * longer existed, each as soon as the one before was refused. */
+/* Guards against stops that are retried without a pause.  Without one, 8,826
+ * stops were sent to workers that no longer existed on mpuk-wroclaw-grown
+ * scale-1 seed 202, each as soon as the one before was refused. */
 static void
 test_failing_stop_is_retried_at_intervals(void)
 {
@@ -103,8 +103,9 @@
 }
 
 /* Guards against an additional stop for each end of a gang member, as each end
- * stops the whole gang again.  When 69 members were stopped because of one on
- * a worker that reset connections, nearly each end sent a stop to that worker.
+ * stops the whole gang again.  If 69 members are stopped because of one on a
+ * worker that resets connections, nearly each end would send a stop to that
+ * worker.
  */
 static void
 test_repeated_stop_keeps_retry_interval(void)
@@ -163,10 +164,10 @@
     site_end(&site);
 }
 
-/* Guards against tasks of a cancelled job that run to their end.  The job was
- * cancelled just after a take-over, before the new owner had read the report
- * of their worker: without an address the stop was dropped and never sent
- * again. */
+/* Guards against tasks of a cancelled job that run to their end.  If the job
+ * is cancelled just after a takeover, before the new owner has read the report
+ * of their worker, there is no address to send the stop to, and a stop that is
+ * dropped is never sent again. */
 static void
 test_stop_waits_for_address_of_worker(void)
 {
@@ -189,7 +190,8 @@
     site_end(&site);
 }
 
-/* Other starts would be delayed on that worker as well. */
+/* Other starts would be delayed on a worker with an unanswered start as well.
+ */
 static void
 test_worker_with_unanswered_start_is_avoided(void)
 {
--- a/tests/test_owner_log.c
+++ b/tests/test_owner_log.c
@@ -37,7 +37,7 @@
 }
 
 static void
-on_proved(void *context, struct timespec sent)
+on_confirmed(void *context, struct timespec sent)
 {
     (void)sent;
     ((struct fixture *)context)->confirmed++;
@@ -54,7 +54,7 @@
 {
     struct fixture *fixture = context;
 
-    CU_ASSERT_STRING_EQUAL(owner_batch_jobs(batch)->pdata[0], "job");
+    CU_ASSERT_STRING_EQUAL(owner_batch_ids(batch)->pdata[0], "job");
     fixture->stored++;
 }
 
@@ -66,7 +66,7 @@
                                         .clock = &fixture->clock.base,
                                         .counters = &fixture->counters,
                                         .topic = "t",
-                                        .confirmed = on_proved,
+                                        .confirmed = on_confirmed,
                                         .lost = on_lost,
                                         .context = fixture};
 
@@ -96,7 +96,7 @@
     GByteArray *value = g_byte_array_new();
 
     g_byte_array_append(value, (const guint8 *)"x", 1);
-    owner_batch_add_job(batch, "job");
+    owner_batch_add_id(batch, "job");
     owner_batch_put(batch, g_strdup(key), value);
     owner_log_send(fixture->log, batch);
 }
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -72,28 +72,29 @@
 static void
 test_the_cheapest_work_is_preempted(void)
 {
-    const struct cw_step_spec plain = {.tasks = 6, .accelerators = 8};
-    const struct cw_step_spec saves = {
+    const struct cw_step_spec without_checkpoints = {.tasks = 6,
+                                                     .accelerators = 8};
+    const struct cw_step_spec with_checkpoints = {
         .tasks = 6, .accelerators = 8, .checkpoints = true};
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 8};
     struct site site;
-    struct owner_job *lossy;
-    struct owner_job *cheap;
+    struct owner_job *job_without_checkpoints;
+    struct owner_job *job_with_checkpoints;
     unsigned stopped[2] = {0, 0};
 
     site_begin(&site);
     set_guarantee(&site, 0);
-    lossy = run_job(&site, 2, &plain);
-    cheap = run_job(&site, 1, &saves);
+    job_without_checkpoints = run_job(&site, 2, &without_checkpoints);
+    job_with_checkpoints = run_job(&site, 1, &with_checkpoints);
     pass(&site, 5000);
     for (unsigned i = 0; i < 6; i++) { /* a checkpoint was just saved */
-        step_of(cheap)->tasks[i].run->saved_at = site.clock.now;
+        step_of(job_with_checkpoints)->tasks[i].run->saved_at = site.clock.now;
     }
     add_job(&site, 0, &one);
     pass(&site, 10);
     for (unsigned i = 0; i < 6; i++) {
-        stopped[0] += step_of(lossy)->tasks[i].run->stopping;
-        stopped[1] += step_of(cheap)->tasks[i].run->stopping;
+        stopped[0] += step_of(job_without_checkpoints)->tasks[i].run->stopping;
+        stopped[1] += step_of(job_with_checkpoints)->tasks[i].run->stopping;
     }
     CU_ASSERT_EQUAL(stopped[0], 0);
     CU_ASSERT_EQUAL(stopped[1], 1);
@@ -108,7 +109,7 @@
     struct site site;
     struct owner_job *urgent;
     struct owner_job *low;
-    unsigned hosts = 0;
+    unsigned workers_used = 0;
     GHashTableIter iterator;
     gpointer value;
 
@@ -119,10 +120,11 @@
     pass(&site, 10);
     g_hash_table_iter_init(&iterator, site.owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        hosts += ((struct owner_target *)value)->lower_priority_runs > 0;
+        workers_used +=
+            ((struct owner_target *)value)->lower_priority_runs > 0;
     }
     CU_ASSERT_TRUE(placed(low) > 0);
-    CU_ASSERT_TRUE(hosts < RACKS * PER_RACK - 4);
+    CU_ASSERT_TRUE(workers_used < RACKS * PER_RACK - 4);
     site_end(&site);
 }
 
@@ -200,8 +202,8 @@
     site_end(&site);
 }
 
-/* Guards against workers that are avoided for one task that fails on every
- * worker by its own fault. */
+/* Guards against workers that are avoided because of one task that fails on
+ * every worker. */
 static void
 test_one_failing_task_does_not_exclude_workers(void)
 {
@@ -287,9 +289,9 @@
 static const struct cw_step_spec whole_workers = {
     .tasks = 3, .accelerators = 8, .gang = true};
 
-/* Reports the progress of all members four times, every half second: first
- * their present one, then each time `percents` more, for the first member
- * `first` more. */
+/* Reports the progress of all members four times, every half second: first the
+ * present value, then each time `percent` more, or `first_percent` more for
+ * the first member. */
 static void
 report_progress(struct site *site, struct owner_step *step, unsigned percent,
                 unsigned first_percent)
@@ -371,10 +373,10 @@
 }
 
 /* Guards against workers that always have two thirds of the others' speed:
- * they are not avoided as slow, and without a learnt speed they would be
+ * they are not avoided as slow, and without a measured speed they would be
  * treated as equally fast. */
 static void
-test_a_permanent_speed_difference_is_learnt(void)
+test_a_permanent_speed_difference_is_measured(void)
 {
     struct site site;
     struct owner_job *job;
@@ -447,7 +449,7 @@
 
     site_begin(&site);
     job = add_job(&site, 1, &one);
-    /* As if it had been submitted with three occurrences. */
+    /* Changes the job as if it had been submitted with three occurrences. */
     spec = (struct cw_work_spec *)job->spec;
     spec->repeats = 3;
     spec->first_due_ms = START_MS;
@@ -568,7 +570,7 @@
     {"becomes slow", test_a_member_that_becomes_slow_shows_a_slow_worker},
     {"long member", test_a_long_member_does_not_show_a_slow_worker},
     {"slow in two jobs", test_slow_members_of_two_jobs_show_a_slow_worker},
-    {"permanent difference", test_a_permanent_speed_difference_is_learnt},
+    {"permanent difference", test_a_permanent_speed_difference_is_measured},
     {"fastest", test_urgent_work_gets_the_fastest_workers},
 };
 
--- a/tests/test_polls.c
+++ b/tests/test_polls.c
@@ -63,7 +63,7 @@
     }
 }
 
-/* As if each worker had been polled just now. */
+/* Sets the state as if each worker had just been polled. */
 static void
 set_polled(struct site *site)
 {
--- a/tests/test_restarts.c
+++ b/tests/test_restarts.c
@@ -3,11 +3,12 @@
  * Guards against state of a former incarnation that is applied to the next
  * one: the numbers of its ends, the crashes behind its missing answers, and
  * the stops and leases that it had confirmed.  A worker that starts again
- * numbers its ends from 1.  Each poll confirmed all ends up to the number that
- * the former incarnation had reached, so the worker forgot new ends before the
- * owner had received them.  A run in neither list counts as lost, so tasks
- * were started again although they were done, and later steps had to wait for
- * them.  The tests fail with that fault; the first reproduces the incident. */
+ * numbers its ends from 1.  If each poll confirms all ends up to the number
+ * that the former incarnation had reached, the worker discards new ends before
+ * the owner has received them.  A run in neither list counts as lost, so tasks
+ * are started again although they are done, and later steps have to wait for
+ * them.  The tests fail with that fault; the first reproduces its sequence of
+ * events. */
 #include "test_main.h"
 
 #include "owner/internal/owner_crashes.h"
@@ -95,8 +96,8 @@
     return ended;
 }
 
-/* Completes a job on the worker, which gives its end this number; a poll then
- * confirms to the worker that the end is stored. */
+/* Completes a job on the worker, which numbers its end with `number`; a poll
+ * then confirms to the worker that the end is stored. */
 static void
 complete_and_confirm(struct site *site, struct owner_target *target,
                      struct owner_job *job, int64_t boot_ms, uint64_t number)
@@ -112,7 +113,7 @@
     answer_poll(boot_ms, NULL, NULL);
 }
 
-/* As in the incident, polls are not answered for a while. */
+/* Polls are not answered for a while before the next incarnation answers. */
 static void
 test_ends_of_next_incarnation_are_received(void)
 {
@@ -263,7 +264,7 @@
     return listed;
 }
 
-/* Begins a site with one worker whose first incarnation is known. */
+/* Begins a cluster with one worker whose first incarnation is known. */
 static struct owner_target *
 first_worker(struct site *site)
 {
@@ -329,8 +330,8 @@
     site_end(&site);
 }
 
-/* The next incarnation does not know the stop: it would carry out a start that
- * is still in flight. */
+/* The next incarnation has not received the stop: it would carry out a start
+ * that is still in flight. */
 static void
 test_stop_confirmed_by_former_incarnation_is_resent(void)
 {
@@ -381,7 +382,7 @@
 }
 
 /* A start without an answer may still be carried out by the next incarnation,
- * which knows neither the run nor its end. */
+ * which has no state of the run or its end. */
 static void
 test_late_start_of_lost_run_is_stopped(void)
 {
@@ -451,7 +452,7 @@
     site_end(&site);
 }
 
-/* ---- take-over ---- */
+/* ---- takeover ---- */
 
 /* A job restored from the state of another owner, with a run on the first
  * incarnation of w00. */
@@ -531,7 +532,7 @@
     {"at-most-once start",
      test_at_most_once_start_is_not_sent_to_next_incarnation},
     {"report", test_report_of_next_incarnation_ends_wait},
-    {"take-over", test_new_owner_detects_crash_of_worker},
+    {"takeover", test_new_owner_detects_crash_of_worker},
     {"at-most-once",
      test_at_most_once_job_of_former_incarnation_is_not_begun_again},
 };
--- a/tests/test_short_leases.c
+++ b/tests/test_short_leases.c
@@ -18,9 +18,9 @@
 static int64_t
 lease_duration_ms(const struct cw_target_order *order, int64_t clock_ms)
 {
-    int64_t given_ms = MIN(order->lease_until_ms - clock_ms, LEASE_MS);
+    int64_t granted_ms = MIN(order->lease_until_ms - clock_ms, LEASE_MS);
 
-    return given_ms + given_ms * DRIFT_PERCENT / 100;
+    return granted_ms + granted_ms * DRIFT_PERCENT / 100;
 }
 
 /* Sends a start to a worker with a slow clock that was not polled for long;
@@ -84,8 +84,8 @@
     check_start_after_idle(0);
 }
 
-/* The same if the start arrives seconds late: the platform's limit on a lease
- * then counts from the arrival. */
+/* Does the same for a start that arrives seconds late: the platform's limit on
+ * a lease then counts from the arrival. */
 static void
 test_bound_covers_late_start_on_slow_clock(void)
 {
@@ -94,10 +94,10 @@
 
 /* A worker that answers orders; its clock runs like the VM's. */
 struct worker {
-    int64_t lease_ms; /* latest end of a lease that an order granted */
-    bool runs;        /* reports all tasks as running, else as ended */
-    bool idle;        /* reports nothing */
-    bool started;     /* a start has arrived */
+    int64_t lease_until_ms; /* latest end of a lease that an order granted */
+    bool runs;              /* reports all tasks as running, else as ended */
+    bool idle;              /* reports nothing */
+    bool started;           /* a start has arrived */
 };
 
 static void
@@ -131,7 +131,8 @@
             worker->started = true;
             return;
         }
-        worker->lease_ms = MAX(worker->lease_ms, order.lease_until_ms);
+        worker->lease_until_ms =
+            MAX(worker->lease_until_ms, order.lease_until_ms);
         g_array_remove_index(unanswered, 0);
         order.done(order.context, &answer);
     }
@@ -181,7 +182,7 @@
     CU_ASSERT_TRUE_FATAL(worker.started);
     bound_ms =
         cw_time_diff_ms(cw_time_from_ms(0), the_worker(&fixture)->lease_end);
-    CU_ASSERT_TRUE(bound_ms >= worker.lease_ms);
+    CU_ASSERT_TRUE(bound_ms >= worker.lease_until_ms);
     g_byte_array_unref(bytes);
     fixture_end(&fixture);
 }
--- a/tests/test_starvation.c
+++ b/tests/test_starvation.c
@@ -1,15 +1,16 @@
 /* Starvation: jobs that have been idle for too long are placed in reserved
- * capacity: how much of it they get, and where, and what must not hide that
- * they are idle. */
+ * capacity.  The tests check how much of it they use, on which workers, and
+ * that unconfirmed runs don't count as work. */
 #include "test_main.h"
 
 #include "owner_site.h"
 
 enum {
     STEP_MS = 50,
-    /* A job may be idle for 3 s; the rest is for the store and the start. */
+    /* A job may be idle for 3 s; the limit is lower by the time that the store
+     * and the start take. */
     PLACED_WITHIN_MS = 2500,
-    /* Headroom is not reclaimed from a run before it has run for so long. */
+    /* Headroom is not reclaimed from a run before it has run for this long. */
     RUN_MIN_MS = 300,
     PLACED_PER_PASS_MAX = 16 /* steps placed in one pass, however many wait */
 };
@@ -17,9 +18,10 @@
 static const struct cw_step_spec nine_workers = {.tasks = 9,
                                                  .accelerators = ACCELERATORS};
 static const struct cw_step_spec wide = {.tasks = 40, .accelerators = 1};
-static const struct cw_step_spec tiny = {.tasks = 1, .accelerators = 1};
-static const struct cw_step_spec whole = {.tasks = 1,
-                                          .accelerators = ACCELERATORS};
+static const struct cw_step_spec one_accelerator = {.tasks = 1,
+                                                    .accelerators = 1};
+static const struct cw_step_spec whole_worker = {.tasks = 1,
+                                                 .accelerators = ACCELERATORS};
 
 static void
 for_each_target(struct site *site, void (*change)(struct site *, void *))
@@ -33,7 +35,7 @@
     }
 }
 
-/* As if urgent work had just arrived in a burst. */
+/* Reserves headroom as after a burst of urgent work. */
 static void
 reserve_headroom(struct site *site)
 {
@@ -55,7 +57,8 @@
     }
 }
 
-/* Three of twelve workers are free, all of them headroom for urgent work. */
+/* Begins a cluster in which three of twelve workers are free, all of them
+ * headroom for urgent work. */
 static void
 site_begin_all_reserved(struct site *site)
 {
@@ -94,7 +97,7 @@
     site_end(&site);
 }
 
-/* Guards against runs that are counted as borrowing headroom for ever: an
+/* Guards against runs that are counted as borrowing headroom without end: an
  * owner that loses the shard drops all its runs at once. */
 static void
 test_borrowed_headroom_is_counted_again(void)
@@ -106,7 +109,7 @@
     site_begin_all_reserved(&site);
     headroom = g_hash_table_lookup(site.owner->headroom, "s");
     headroom->headroom_borrowed = RACKS * PER_RACK * ACCELERATORS;
-    job = add_job(&site, 2, &tiny);
+    job = add_job(&site, 2, &one_accelerator);
     run_passes(&site, PLACED_WITHIN_MS);
     CU_ASSERT_EQUAL(placed(job), 1);
     site_end(&site);
@@ -133,7 +136,7 @@
 }
 
 /* Guards against a limit on borrowed headroom that leaves some idle jobs
- * without a placement as others have used it up. */
+ * without a placement because others have reached it. */
 static void
 test_all_idle_jobs_are_placed(void)
 {
@@ -146,7 +149,7 @@
     set_guarantee(&site, RACKS * PER_RACK * ACCELERATORS);
     run_job(&site, 0, &eight);
     for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
-        jobs[i] = add_job(&site, 2, &whole);
+        jobs[i] = add_job(&site, 2, &whole_worker);
     }
     run_passes(&site, PLACED_WITHIN_MS);
     for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
@@ -155,14 +158,15 @@
     site_end(&site);
 }
 
-/* Returns a run that borrows headroom and was just confirmed. */
+/* Begins a cluster in which one run borrows headroom and its start was just
+ * confirmed; returns that run. */
 static struct owner_run *
-borrow_headroom(struct site *site)
+site_begin_with_borrowing_run(struct site *site)
 {
     struct owner_job *job;
 
     site_begin_all_reserved(site);
-    job = add_job(site, 2, &whole);
+    job = add_job(site, 2, &whole_worker);
     run_passes(site, PLACED_WITHIN_MS);
     confirm_starts(site, job);
     CU_ASSERT_PTR_NOT_NULL_FATAL(first_run(job));
@@ -176,7 +180,7 @@
 test_borrowed_headroom_is_reclaimed_before_it_is_needed(void)
 {
     struct site site;
-    struct owner_run *run = borrow_headroom(&site);
+    struct owner_run *run = site_begin_with_borrowing_run(&site);
     struct owner_headroom *headroom =
         g_hash_table_lookup(site.owner->headroom, "s");
 
@@ -194,7 +198,7 @@
 test_borrowing_run_goes_on_without_urgent_work(void)
 {
     struct site site;
-    struct owner_run *run = borrow_headroom(&site);
+    struct owner_run *run = site_begin_with_borrowing_run(&site);
 
     run_passes(&site, 5000);
     CU_ASSERT_FALSE(run->stopping);
@@ -206,7 +210,7 @@
 test_at_most_once_work_is_not_stopped(void)
 {
     struct site site;
-    struct owner_run *run = borrow_headroom(&site);
+    struct owner_run *run = site_begin_with_borrowing_run(&site);
     struct owner_headroom *headroom =
         g_hash_table_lookup(site.owner->headroom, "s");
 
@@ -258,7 +262,7 @@
     owner_run_create(site.owner, &step_of(lower)->tasks[1],
                      owner_target_get(site.owner, "w01"), RUN_RUNNING, 1);
     for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
-        jobs[i] = add_job(&site, 2, &tiny);
+        jobs[i] = add_job(&site, 2, &one_accelerator);
     }
     for (unsigned ms = 0; ms < PLACED_WITHIN_MS; ms += STEP_MS) {
         for_each_target(&site, reserve_first_rack);
@@ -316,7 +320,7 @@
     }
 }
 
-/* Guards against urgent work that waits for ever for capacity that is not
+/* Guards against urgent work that waits without limit for capacity that is not
  * freed: after two reserved runs of 1.5 s each it is placed in any free
  * capacity. */
 static void
@@ -330,7 +334,7 @@
     set_guarantee(&site, 0);
     run_job(&site, 1, &nine_workers);
     set_guarantee(&site, RACKS * PER_RACK * ACCELERATORS);
-    job = add_job(&site, 0, &whole);
+    job = add_job(&site, 0, &whole_worker);
     for (; ms < 20000; ms += STEP_MS) {
         for_each_target(&site, make_suspect_if_idle);
         pass(&site, STEP_MS);
@@ -353,10 +357,10 @@
 
     site_begin(&site);
     set_guarantee(&site, 0);
-    site.owner->order_window.max_in_flight = 96;
-    site.owner->order_window.in_flight = 96;
+    site.owner->order_window.max_outstanding = 96;
+    site.owner->order_window.outstanding = 96;
     for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
-        jobs[i] = add_job(&site, 2, &tiny);
+        jobs[i] = add_job(&site, 2, &one_accelerator);
     }
     for (unsigned ms = 0; ms < 4000; ms += 2 * STEP_MS) {
         unsigned now = 0;
@@ -369,7 +373,7 @@
         before = now;
     }
     CU_ASSERT_EQUAL(before, G_N_ELEMENTS(jobs));
-    site.owner->order_window.in_flight = 0;
+    site.owner->order_window.outstanding = 0;
     site_end(&site);
 }
 
--- a/tests/test_stragglers.c
+++ b/tests/test_stragglers.c
@@ -2,7 +2,7 @@
  *
  * A few in a hundred tasks take several times as long as the others
  * (heavy-tailed service times), and some workers hang or are slow.  Both make
- * a gang late, but only the latter is the worker's fault, and only then does a
+ * a gang late, but only in the latter case is the worker the cause, and does a
  * restart help. */
 #include "test_main.h"
 
@@ -112,7 +112,7 @@
     double length_ms;
     double done_ms;
     int64_t unchanged_since_ms;
-    int64_t hangs_at_ms; /* -1: its worker is sound */
+    int64_t hangs_at_ms; /* -1: its worker does not hang */
     unsigned percent;
 };
 
--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -4,8 +4,9 @@
 
 #include "owner_fixture.h"
 
-/* Guards against VMs that all read all states: 147 VMs that each read all that
- * an owner writes use up the store's bandwidth, and delay the owner's reads.
+/* Guards against VMs that read states although they are not the owner: if each
+ * of 147 VMs reads everything that an owner writes, the store's bandwidth is
+ * used up, and the owner's reads are delayed.
  */
 static void
 test_a_vm_that_is_not_the_owner_reads_no_states(void)
@@ -114,8 +115,8 @@
     fixture_end(&fixture);
 }
 
-/* The opposite case: the last state is stored, and its writer was lost before
- * the outcome was. */
+/* The last state of a job may be stored although its outcome is not: their
+ * writer was lost in between. */
 static void
 test_an_end_that_was_not_published_is_published(void)
 {
@@ -190,7 +191,8 @@
     fixture_end(&fixture);
 }
 
-/* An owner that is connected stops only when the next one has fenced it. */
+/* A yielding owner that reaches the store stays active until the next owner
+ * has fenced it. */
 static void
 test_a_yielding_owner_is_active_until_it_is_fenced(void)
 {
@@ -212,8 +214,8 @@
     fixture_end(&fixture);
 }
 
-/* Without the store a yielding owner cannot know whether it was fenced, and
- * stops before its last confirmation is too old. */
+/* Without the store a yielding owner cannot determine whether it was fenced,
+ * and stops before its last confirmation is too old. */
 static void
 test_a_yielding_owner_stops_without_the_store(void)
 {
@@ -229,13 +231,13 @@
     fixture_end(&fixture);
 }
 
-/* Guards against a wait for leases that each takeover starts anew.  A new
- * owner does not know how long an earlier one may still extend leases, and
- * waits 12.6 s from its takeover.  When it was replaced as well, its knowledge
- * of unresponsive workers and their leases was lost, so that after several
- * takeovers in a row runs on workers that had left were given up 20 s and more
- * after the first owner was lost.  Without the rule the run below stays for
- * 12.6 s from the second takeover instead of the first. */
+/* Guards against a wait for leases that starts anew with each takeover.
+ * Without records a new owner waits 12.6 s from its takeover, as an earlier
+ * owner may still extend leases.  If it is replaced in turn and its bounds on
+ * the leases of unresponsive workers are lost, several takeovers in a row
+ * delay the end of runs on workers that have left until 20 s and more after
+ * the loss of the first owner.  With that fault the run below stays for 12.6 s
+ * from the second takeover instead of the first. */
 static void
 test_a_second_takeover_keeps_the_bound_of_the_first(void)
 {
