--- a/tests/owner_site.h
+++ b/tests/owner_cluster.h
@@ -11,7 +11,7 @@
 enum { RACKS = 3, PER_RACK = 4, ACCELERATORS = 8, START_MS = 100000 };
 
 /* An owner with workers w00 to w11 in racks r0 to r2, and no network. */
-struct site {
+struct cluster {
     struct cw_clock_manual clock;
     struct cw_counters counters;
     struct cw_replica *replica;
@@ -70,13 +70,13 @@
 }
 
 static inline void
-add_worker(struct site *site, unsigned index)
+add_worker(struct cluster *cluster, unsigned index)
 {
     char name[16];
     struct owner_target *target;
 
     g_snprintf(name, sizeof(name), "w%02u", index);
-    target = owner_target_get(site->owner, name);
+    target = owner_target_get(cluster->owner, name);
     set_rack(target, index / PER_RACK);
     target->service = g_intern_string("s");
     g_free(target->address);
@@ -88,12 +88,12 @@
     target->capacity.memory_mb = 65536;
     target->listed = true;
     target->incarnation.clock_known = true;
-    target->incarnation.clock_at = site->clock.now;
+    target->incarnation.clock_at = cluster->clock.now;
     target->answered = true;
 }
 
 static inline void
-set_guarantee(struct site *site, unsigned accelerators)
+set_guarantee(struct cluster *cluster, unsigned accelerators)
 {
     struct cw_routing *routing = cw_routing_new();
     struct cw_account *account = cw_routing_add_account(routing);
@@ -101,46 +101,46 @@
     account->name = g_strdup("a");
     account->guaranteed_accelerators = accelerators;
     cw_routing_finish(routing);
-    cw_owner_configure(site->owner, routing);
+    cw_owner_configure(cluster->owner, routing);
     cw_routing_unref(routing);
 }
 
 static inline void
-site_begin(struct site *site)
+cluster_begin(struct cluster *cluster)
 {
     static const struct cw_targets_ops ops = {.order = record_order};
     static struct cw_targets targets = {.ops = &ops};
-    struct cw_replica_options replica = {.clock = &site->clock.base};
+    struct cw_replica_options replica = {.clock = &cluster->clock.base};
     struct cw_owner_options options = {.targets = &targets,
-                                       .clock = &site->clock.base,
-                                       .counters = &site->counters,
+                                       .clock = &cluster->clock.base,
+                                       .counters = &cluster->counters,
                                        .vm = "this",
                                        .member = "m",
                                        .member_ttl_ms = 1000,
                                        .lease_ms = 6000};
 
-    memset(site, 0, sizeof(*site));
+    memset(cluster, 0, sizeof(*cluster));
     cw_log_setup("error", "test");
-    cw_clock_manual_init(&site->clock);
-    site->clock.now = cw_time_from_ms(START_MS);
-    site->replica = cw_replica_create(&replica);
-    options.replica = site->replica;
-    site->owner = cw_owner_create(&options);
-    site->owner->state = OWNER_ACTIVE;
+    cw_clock_manual_init(&cluster->clock);
+    cluster->clock.now = cw_time_from_ms(START_MS);
+    cluster->replica = cw_replica_create(&replica);
+    options.replica = cluster->replica;
+    cluster->owner = cw_owner_create(&options);
+    cluster->owner->state = OWNER_ACTIVE;
     for (unsigned i = 0; i < RACKS * PER_RACK; i++) {
-        add_worker(site, i);
+        add_worker(cluster, i);
     }
-    set_guarantee(site, 64);
+    set_guarantee(cluster, 64);
 }
 
 /* Puts each rack into a data centre of its own: r0 into d0, and so on. */
 static inline void
-site_put_racks_in_dcs(struct site *site)
+cluster_put_racks_in_dcs(struct cluster *cluster)
 {
     GHashTableIter iterator;
     gpointer value;
 
-    g_hash_table_iter_init(&iterator, site->owner->targets);
+    g_hash_table_iter_init(&iterator, cluster->owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct owner_target *target = value;
 
@@ -152,27 +152,27 @@
 }
 
 static inline void
-site_end(struct site *site)
+cluster_end(struct cluster *cluster)
 {
     answer_remaining();
-    cw_owner_free(site->owner);
-    cw_replica_free(site->replica);
+    cw_owner_free(cluster->owner);
+    cw_replica_free(cluster->replica);
 }
 
 /* Lets time pass and runs a placement pass, with ownership confirmed. */
 static inline void
-pass(struct site *site, unsigned ms)
+pass(struct cluster *cluster, unsigned ms)
 {
-    site->clock.now = cw_time_add_ms(site->clock.now, ms);
-    site->owner->ownership_confirmed_at = site->clock.now;
-    owner_idle_tick(site->owner, site->clock.now);
-    owner_placement_pass(site->owner, site->clock.now);
+    cluster->clock.now = cw_time_add_ms(cluster->clock.now, ms);
+    cluster->owner->ownership_confirmed_at = cluster->clock.now;
+    owner_idle_tick(cluster->owner, cluster->clock.now);
+    owner_placement_pass(cluster->owner, cluster->clock.now);
 }
 
 /* Submits a job of one step for an account; the step is copied. */
 static inline struct owner_job *
-add_job_for_account(struct site *site, const char *account, unsigned priority,
-                    const struct cw_step_spec *step_spec)
+add_job_for_account(struct cluster *cluster, const char *account,
+                    unsigned priority, const struct cw_step_spec *step_spec)
 {
     char id[32];
     char key[40];
@@ -188,7 +188,7 @@
     GByteArray *bytes;
     struct cw_store_record record = {.key = key};
 
-    g_snprintf(id, sizeof(id), "%016x", ++site->jobs);
+    g_snprintf(id, sizeof(id), "%016x", ++cluster->jobs);
     g_snprintf(key, sizeof(key), "s%s", id);
     spec.id = id;
     step.cpu_milli = 1000;
@@ -202,17 +202,17 @@
     bytes = cw_xdr_encode((xdrproc_t)xdr_cw_work_spec, &spec);
     record.value = bytes->data;
     record.length = bytes->len;
-    record.offset = site->jobs;
-    cw_replica_apply(site->replica, &record); /* which notifies the owner */
+    record.offset = cluster->jobs;
+    cw_replica_apply(cluster->replica, &record); /* which notifies the owner */
     g_byte_array_unref(bytes);
-    return g_hash_table_lookup(site->owner->jobs, id);
+    return g_hash_table_lookup(cluster->owner->jobs, id);
 }
 
 static inline struct owner_job *
-add_job(struct site *site, unsigned priority,
+add_job(struct cluster *cluster, unsigned priority,
         const struct cw_step_spec *step_spec)
 {
-    return add_job_for_account(site, "a", priority, step_spec);
+    return add_job_for_account(cluster, "a", priority, step_spec);
 }
 
 static inline struct owner_step *
@@ -237,57 +237,57 @@
 
 /* Makes the job's runs run, as if their starts had been confirmed. */
 static inline void
-set_running(struct site *site, struct owner_job *job)
+set_running(struct cluster *cluster, struct owner_job *job)
 {
     for (unsigned i = 0; i < step_of(job)->count; i++) {
         struct owner_run *run = step_of(job)->tasks[i].run;
 
         run->phase = RUN_RUNNING;
-        run->started_at = site->clock.now;
-        run->saved_at = site->clock.now;
-        run->progress_at = site->clock.now;
+        run->started_at = cluster->clock.now;
+        run->saved_at = cluster->clock.now;
+        run->progress_at = cluster->clock.now;
     }
 }
 
 /* Makes the job's new runs run, as if their starts had been confirmed. */
 static inline void
-confirm_starts(struct site *site, struct owner_job *job)
+confirm_starts(struct cluster *cluster, struct owner_job *job)
 {
     for (unsigned i = 0; i < step_of(job)->count; i++) {
         struct owner_run *run = step_of(job)->tasks[i].run;
 
         if (run != NULL && run->phase == RUN_NEW) {
             run->phase = RUN_RUNNING;
-            run->started_at = site->clock.now;
-            run->progress_at = site->clock.now;
+            run->started_at = cluster->clock.now;
+            run->progress_at = cluster->clock.now;
         }
     }
 }
 
 /* Adds a job, places its tasks and makes them run. */
 static inline struct owner_job *
-run_job(struct site *site, unsigned priority,
+run_job(struct cluster *cluster, unsigned priority,
         const struct cw_step_spec *step_spec)
 {
-    struct owner_job *job = add_job(site, priority, step_spec);
+    struct owner_job *job = add_job(cluster, priority, step_spec);
 
-    pass(site, 10);
-    set_running(site, job);
+    pass(cluster, 10);
+    set_running(cluster, job);
     return job;
 }
 
 /* Makes the job's only run ready and sends its start. */
 static inline struct owner_run *
-send_job_start(struct site *site, struct owner_job *job)
+send_job_start(struct cluster *cluster, struct owner_job *job)
 {
     struct owner_run *run = step_of(job)->tasks[0].run;
     struct cw_task_name name = owner_task_name(run->task);
 
     run->phase = RUN_READY;
-    site->owner->ownership_confirmed_at = site->clock.now;
-    owner_order_queue(site->owner, run->target, CW_ORDER_START, &name,
+    cluster->owner->ownership_confirmed_at = cluster->clock.now;
+    owner_order_queue(cluster->owner, run->target, CW_ORDER_START, &name,
                       run->number);
-    owner_orders_send(site->owner, run->target, site->clock.now);
+    owner_orders_send(cluster->owner, run->target, cluster->clock.now);
     return run;
 }
 
--- a/tests/owner_fixture.h
+++ b/tests/owner_fixture.h
@@ -4,7 +4,7 @@
 #define CURLEWCART_TESTS_OWNER_FIXTURE_H
 
 #include "curlewcart/cw_record.h"
-#include "owner_site.h"
+#include "owner_cluster.h"
 #include "platform/platform.h"
 #include "fake_store.h"
 #include "work_spec.h"
--- a/tests/test_at_most_once.c
+++ b/tests/test_at_most_once.c
@@ -1,20 +1,20 @@
 /* At-most-once jobs, which must not be begun a second time. */
 #include "test_main.h"
 
-#include "owner_site.h"
+#include "owner_cluster.h"
 
 static struct owner_job *
-add_at_most_once_job(struct site *site, unsigned priority, unsigned tasks,
-                     bool gang)
+add_at_most_once_job(struct cluster *cluster, unsigned priority,
+                     unsigned tasks, bool gang)
 {
     const struct cw_step_spec step = {
         .tasks = tasks, .accelerators = 8, .gang = gang};
-    struct owner_job *job = add_job(site, priority, &step);
+    struct owner_job *job = add_job(cluster, priority, &step);
 
     /* The replica's copy is owned by this test, so it may be changed. */
     ((struct cw_work_spec *)job->spec)->once = TRUE;
     ((struct cw_work_spec *)job->spec)->max_attempts = 1;
-    pass(site, 10);
+    pass(cluster, 10);
     return job;
 }
 
@@ -28,20 +28,20 @@
 test_not_stopped_for_urgent_work(void)
 {
     const struct cw_step_spec all = {.tasks = 12, .accelerators = 8};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *once;
     struct owner_job *urgent;
 
-    site_begin(&site);
-    set_guarantee(&site,
+    cluster_begin(&cluster);
+    set_guarantee(&cluster,
                   8); /* lower-priority work may use nearly all workers */
-    once = add_at_most_once_job(&site, 1, 1, false);
-    set_running(&site, once);
-    urgent = add_job(&site, 0, &all);
-    pass(&site, 10);
+    once = add_at_most_once_job(&cluster, 1, 1, false);
+    set_running(&cluster, once);
+    urgent = add_job(&cluster, 0, &all);
+    pass(&cluster, 10);
     CU_ASSERT_FALSE(run_of(once, 0)->stopping);
     CU_ASSERT_EQUAL(placed(urgent), 11);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Of 96 accelerators another account is guaranteed 64. */
@@ -50,108 +50,108 @@
 {
     const struct cw_step_spec four = {.tasks = 4, .accelerators = 8};
     const struct cw_step_spec five = {.tasks = 5, .accelerators = 8};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *too_much;
     struct owner_job *fits;
 
-    site_begin(&site);
-    too_much = add_job_for_account(&site, "other", 1, &five);
+    cluster_begin(&cluster);
+    too_much = add_job_for_account(&cluster, "other", 1, &five);
     ((struct cw_work_spec *)too_much->spec)->once = TRUE;
-    pass(&site, 10);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(placed(too_much), 0);
-    fits = add_job_for_account(&site, "other", 1, &four);
+    fits = add_job_for_account(&cluster, "other", 1, &four);
     ((struct cw_work_spec *)fits->spec)->once = TRUE;
-    pass(&site, 10);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(placed(fits), 4);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
 test_lost_worker_ends_job_as_lost(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    job = add_at_most_once_job(&site, 1, 1, false);
-    set_running(&site, job);
-    owner_run_lost(site.owner, run_of(job, 0), true, "test");
+    cluster_begin(&cluster);
+    job = add_at_most_once_job(&cluster, 1, 1, false);
+    set_running(&cluster, job);
+    owner_run_lost(cluster.owner, run_of(job, 0), true, "test");
     CU_ASSERT_EQUAL(job->phase, CW_WORK_LOST);
     CU_ASSERT_EQUAL(job->reason, CW_END_WORKER_LOST);
-    pass(&site, 300);
+    pass(&cluster, 300);
     CU_ASSERT_EQUAL(placed(job), 0);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
 test_run_that_never_started_is_retried(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    job = add_at_most_once_job(&site, 1, 1, false);
+    cluster_begin(&cluster);
+    job = add_at_most_once_job(&cluster, 1, 1, false);
     run_of(job, 0)->phase = RUN_INHERITED; /* of an earlier owner */
-    owner_run_lost(site.owner, run_of(job, 0), false, "not_listed");
+    owner_run_lost(cluster.owner, run_of(job, 0), false, "not_listed");
     CU_ASSERT_EQUAL(job->phase, CW_WORK_WAITING);
-    pass(&site, 300);
+    pass(&cluster, 300);
     CU_ASSERT_EQUAL(placed(job), 1);
     CU_ASSERT_EQUAL(run_of(job, 0)->number, 2);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
 test_gang_that_never_worked_is_retried(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    job = add_at_most_once_job(&site, 1, 2, true);
-    set_running(&site, job);
+    cluster_begin(&cluster);
+    job = add_at_most_once_job(&cluster, 1, 2, true);
+    set_running(&cluster, job);
     run_of(job, 0)->phase = RUN_READY; /* its start was never sent */
-    owner_run_drop(site.owner, run_of(job, 0));
-    owner_run_lost(site.owner, run_of(job, 1), true, "lease_over");
+    owner_run_drop(cluster.owner, run_of(job, 0));
+    owner_run_lost(cluster.owner, run_of(job, 1), true, "lease_over");
     CU_ASSERT_FALSE(cw_work_is_over(job->phase));
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
 test_gang_that_may_have_worked_is_lost(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    job = add_at_most_once_job(&site, 1, 2, true);
-    set_running(&site, job);
-    owner_run_lost(site.owner, run_of(job, 1), true, "lease_over");
+    cluster_begin(&cluster);
+    job = add_at_most_once_job(&cluster, 1, 2, true);
+    set_running(&cluster, job);
+    owner_run_lost(cluster.owner, run_of(job, 1), true, "lease_over");
     CU_ASSERT_EQUAL(job->phase, CW_WORK_LOST);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
 test_refused_after_deadline_unless_started(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    job = add_at_most_once_job(&site, 1, 1, false);
+    cluster_begin(&cluster);
+    job = add_at_most_once_job(&cluster, 1, 1, false);
     ((struct cw_work_spec *)job->spec)->deadline_ms = 1000;
-    owner_job_check_deadline(site.owner, job,
+    owner_job_check_deadline(cluster.owner, job,
                              cw_time_add_ms(job->known_at, 900));
     CU_ASSERT_EQUAL(job->phase, CW_WORK_WAITING);
     job->started = true;
-    owner_job_check_deadline(site.owner, job,
+    owner_job_check_deadline(cluster.owner, job,
                              cw_time_add_ms(job->known_at, 2000));
     CU_ASSERT_EQUAL(job->phase, CW_WORK_WAITING);
     job->started = false;
-    owner_job_check_deadline(site.owner, job,
+    owner_job_check_deadline(cluster.owner, job,
                              cw_time_add_ms(job->known_at, 2000));
     CU_ASSERT_EQUAL(job->phase, CW_WORK_REFUSED);
     CU_ASSERT_EQUAL(job->reason, CW_REF_DEADLINE);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static const struct test tests[] = {
--- a/tests/test_capacity.c
+++ b/tests/test_capacity.c
@@ -12,20 +12,20 @@
  * - A start that was decided before its worker shrank is sent afterwards. */
 #include "test_main.h"
 
-#include "owner_site.h"
+#include "owner_cluster.h"
 
 static const struct cw_step_spec half = {.tasks = 1, .accelerators = 4};
 static const struct cw_step_spec whole = {.tasks = 1, .accelerators = 8};
 
 /* Leaves only the worker w00 to place work on. */
 static struct owner_target *
-list_only_one(struct site *site)
+list_only_one(struct cluster *cluster)
 {
-    struct owner_target *only = owner_target_get(site->owner, "w00");
+    struct owner_target *only = owner_target_get(cluster->owner, "w00");
     GHashTableIter iterator;
     gpointer value;
 
-    g_hash_table_iter_init(&iterator, site->owner->targets);
+    g_hash_table_iter_init(&iterator, cluster->owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         ((struct owner_target *)value)->listed = value == only;
     }
@@ -33,7 +33,7 @@
 }
 
 static void
-configure(struct site *site, bool is_enforced)
+configure(struct cluster *cluster, bool is_enforced)
 {
     struct cw_routing *routing = cw_routing_new();
     struct cw_service *service = cw_routing_add_service(routing);
@@ -44,37 +44,37 @@
     account->name = g_strdup("a");
     account->guaranteed_accelerators = 64;
     cw_routing_finish(routing);
-    cw_owner_configure(site->owner, routing);
+    cw_owner_configure(cluster->owner, routing);
     cw_routing_unref(routing);
 }
 
 static unsigned
-placed_by_report_of_age(struct site *site, bool is_enforced,
+placed_by_report_of_age(struct cluster *cluster, bool is_enforced,
                         unsigned report_age_ms)
 {
     struct owner_target *target;
     struct owner_job *job;
     unsigned runs;
 
-    site_begin(site);
-    configure(site, is_enforced);
-    target = list_only_one(site);
+    cluster_begin(cluster);
+    configure(cluster, is_enforced);
+    target = list_only_one(cluster);
     target->reported_at =
-        cw_time_add_ms(site->clock.now, -(int64_t)report_age_ms);
-    job = add_job(site, 0, &half);
-    pass(site, 10);
+        cw_time_add_ms(cluster->clock.now, -(int64_t)report_age_ms);
+    job = add_job(cluster, 0, &half);
+    pass(cluster, 10);
     runs = placed(job);
-    site_end(site);
+    cluster_end(cluster);
     return runs;
 }
 
 static void
 test_an_old_report_is_not_used_if_capacity_is_not_enforced(void)
 {
-    struct site site;
+    struct cluster cluster;
 
-    CU_ASSERT_EQUAL(placed_by_report_of_age(&site, false, 2500), 1);
-    CU_ASSERT_EQUAL(placed_by_report_of_age(&site, false, 5000), 0);
+    CU_ASSERT_EQUAL(placed_by_report_of_age(&cluster, false, 2500), 1);
+    CU_ASSERT_EQUAL(placed_by_report_of_age(&cluster, false, 5000), 0);
 }
 
 /* A worker that enforces its capacity refuses what does not fit, which costs
@@ -82,14 +82,14 @@
 static void
 test_an_old_report_is_used_if_capacity_is_enforced(void)
 {
-    struct site site;
+    struct cluster cluster;
 
-    CU_ASSERT_EQUAL(placed_by_report_of_age(&site, true, 5000), 1);
+    CU_ASSERT_EQUAL(placed_by_report_of_age(&cluster, true, 5000), 1);
 }
 
 /* Lets the worker list a run of a task that has none. */
 static void
-list_unwanted_run(struct site *site, struct owner_target *target,
+list_unwanted_run(struct cluster *cluster, struct owner_target *target,
                   const struct owner_job *job)
 {
     struct cw_running running = {.task =
@@ -99,10 +99,10 @@
     struct cw_target_answer answer = {
         .status = CW_TARGET_OK, .running = &running, .running_count = 1};
 
-    target->poll_due = site->clock.now;
+    target->poll_due = cluster->clock.now;
     target->answered = false;
-    site->owner->ownership_confirmed_at = site->clock.now;
-    (void)owner_poll_tick(site->owner, target, site->clock.now);
+    cluster->owner->ownership_confirmed_at = cluster->clock.now;
+    (void)owner_poll_tick(cluster->owner, target, cluster->clock.now);
     CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_POLL);
     g_array_set_size(unanswered, unanswered->len - 1);
     last_order.done(last_order.context, &answer);
@@ -111,52 +111,54 @@
 static void
 test_a_run_that_is_stopping_still_takes_capacity(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_target *target;
     struct owner_job *unwanted;
     struct owner_job *job;
 
-    site_begin(&site);
-    target = list_only_one(&site);
-    unwanted = add_job(&site, 0, &half);
-    list_unwanted_run(&site, target, unwanted);
-    owner_job_end(site.owner, unwanted, CW_WORK_CANCELLED, CW_END_CANCELLED);
-    job = add_job(&site, 0, &whole);
-    pass(&site, 10);
+    cluster_begin(&cluster);
+    target = list_only_one(&cluster);
+    unwanted = add_job(&cluster, 0, &half);
+    list_unwanted_run(&cluster, target, unwanted);
+    owner_job_end(cluster.owner, unwanted, CW_WORK_CANCELLED,
+                  CW_END_CANCELLED);
+    job = add_job(&cluster, 0, &whole);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(placed(job), 0);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Sends the worker's orders; true if the job's start was withheld and its task
  * waits again. */
 static bool
-withholds_start(struct site *site, struct owner_target *target,
+withholds_start(struct cluster *cluster, struct owner_target *target,
                 const struct owner_job *job)
 {
     struct owner_run *run = step_of(job)->tasks[0].run;
     struct cw_task_name name = owner_task_name(run->task);
 
     run->phase = RUN_READY;
-    owner_order_queue(site->owner, target, CW_ORDER_START, &name, run->number);
-    site->owner->ownership_confirmed_at = site->clock.now;
-    (void)owner_orders_send(site->owner, target, site->clock.now);
+    owner_order_queue(cluster->owner, target, CW_ORDER_START, &name,
+                      run->number);
+    cluster->owner->ownership_confirmed_at = cluster->clock.now;
+    (void)owner_orders_send(cluster->owner, target, cluster->clock.now);
     return (unanswered == NULL || unanswered->len == 0) && placed(job) == 0;
 }
 
 static void
 test_a_start_decided_before_the_worker_shrank_is_not_sent(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_target *target;
     struct owner_job *job;
 
-    site_begin(&site);
-    target = list_only_one(&site);
-    job = add_job(&site, 0, &whole);
-    pass(&site, 10);
+    cluster_begin(&cluster);
+    target = list_only_one(&cluster);
+    job = add_job(&cluster, 0, &whole);
+    pass(&cluster, 10);
     target->capacity.accelerators = 4;
-    CU_ASSERT_TRUE(withholds_start(&site, target, job));
-    site_end(&site);
+    CU_ASSERT_TRUE(withholds_start(&cluster, target, job));
+    cluster_end(&cluster);
 }
 
 /* The run is placed when the store becomes unavailable and would be sent when
@@ -164,26 +166,26 @@
 static void
 test_a_start_decided_before_an_outage_is_not_sent(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_target *target;
     struct owner_job *job;
 
-    site_begin(&site);
-    configure(&site, false);
-    target = list_only_one(&site);
-    target->reported_at = site.clock.now;
-    job = add_job(&site, 0, &whole);
-    pass(&site, 10);
+    cluster_begin(&cluster);
+    configure(&cluster, false);
+    target = list_only_one(&cluster);
+    target->reported_at = cluster.clock.now;
+    job = add_job(&cluster, 0, &whole);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(placed(job), 1);
-    site.clock.now = cw_time_add_ms(site.clock.now, 5000);
-    CU_ASSERT_TRUE(withholds_start(&site, target, job));
-    site_end(&site);
+    cluster.clock.now = cw_time_add_ms(cluster.clock.now, 5000);
+    CU_ASSERT_TRUE(withholds_start(&cluster, target, job));
+    cluster_end(&cluster);
 }
 
 static void
 test_added_capacity_is_used_at_once(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_target *target;
     struct cw_target_report report = {.id = "w00",
                                       .service = "s",
@@ -196,20 +198,20 @@
                                                    .accelerators = 4}};
     struct owner_job *job;
 
-    site_begin(&site);
-    target = list_only_one(&site);
-    owner_target_apply_report(site.owner, &report);
+    cluster_begin(&cluster);
+    target = list_only_one(&cluster);
+    owner_target_apply_report(cluster.owner, &report);
     CU_ASSERT_EQUAL(target->capacity.accelerators, 4);
-    job = add_job(&site, 1, &whole);
-    pass(&site, 10);
+    job = add_job(&cluster, 1, &whole);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(placed(job), 0);
-    site.owner->placement_wanted = false;
+    cluster.owner->placement_wanted = false;
     report.capacity.accelerators = 8;
-    owner_target_apply_report(site.owner, &report);
-    CU_ASSERT_TRUE(site.owner->placement_wanted);
-    pass(&site, 10);
+    owner_target_apply_report(cluster.owner, &report);
+    CU_ASSERT_TRUE(cluster.owner->placement_wanted);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(placed(job), 1);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* The start was sent without an answer while the worker was down; when the
@@ -217,27 +219,28 @@
 static void
 test_a_start_is_not_repeated_to_a_worker_that_has_shrunk(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_target *target;
     struct owner_job *job;
     struct owner_run *run;
     struct cw_task_name name;
 
-    site_begin(&site);
-    target = list_only_one(&site);
-    job = add_job(&site, 0, &whole);
-    pass(&site, 10);
+    cluster_begin(&cluster);
+    target = list_only_one(&cluster);
+    job = add_job(&cluster, 0, &whole);
+    pass(&cluster, 10);
     run = step_of(job)->tasks[0].run;
     run->phase = RUN_STARTING;
     run->unanswered = 1;
     target->capacity.accelerators = 4;
-    site.owner->ownership_confirmed_at = site.clock.now;
+    cluster.owner->ownership_confirmed_at = cluster.clock.now;
     name = owner_task_name(run->task);
-    owner_order_queue(site.owner, target, CW_ORDER_START, &name, run->number);
-    owner_orders_send(site.owner, target, site.clock.now);
+    owner_order_queue(cluster.owner, target, CW_ORDER_START, &name,
+                      run->number);
+    owner_orders_send(cluster.owner, target, cluster.clock.now);
     CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_STOP);
     CU_ASSERT_TRUE(run->stopping);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static const struct test tests[] = {
--- a/tests/test_cordons.c
+++ b/tests/test_cordons.c
@@ -11,14 +11,14 @@
  * are not given up. */
 #include "test_main.h"
 
-#include "owner_site.h"
+#include "owner_cluster.h"
 #include "platform/platform.h"
 #include "fake_store.h"
 
 enum { CORDON_MS = 5000 };
 
 struct fixture {
-    struct site site;
+    struct cluster cluster;
     struct cw_cordons *cordons;
     struct fake_store port;
     struct cw_follower *follower;
@@ -30,22 +30,22 @@
 {
     struct fixture *fixture = context;
 
-    cw_owner_cordons_changed(fixture->site.owner);
+    cw_owner_cordons_changed(fixture->cluster.owner);
 }
 
 static void
 fixture_begin(struct fixture *fixture)
 {
     struct cw_cordons_options options = {.codec = platform_codec(),
-                                         .clock = &fixture->site.clock.base,
+                                         .clock = &fixture->cluster.clock.base,
                                          .changed = on_changed,
                                          .context = fixture};
 
     memset(fixture, 0, sizeof(*fixture));
-    site_begin(&fixture->site);
-    site_put_racks_in_dcs(&fixture->site);
+    cluster_begin(&fixture->cluster);
+    cluster_put_racks_in_dcs(&fixture->cluster);
     fixture->cordons = cw_cordons_create(&options);
-    fixture->site.owner->options.cordons = fixture->cordons;
+    fixture->cluster.owner->options.cordons = fixture->cordons;
 }
 
 /* Makes the fixture read cordons from a store, as a VM does. */
@@ -55,7 +55,7 @@
     struct cw_follower_options options = {
         .name = "orders",
         .store = &fixture->port.base,
-        .clock = &fixture->site.clock.base,
+        .clock = &fixture->cluster.clock.base,
         .topic = platform_codec()->routing_topic,
         .wait_ms = 1000,
         .handler = {.reset = cw_cordons_reset,
@@ -67,13 +67,13 @@
     fixture->port.model = store_model_create(1);
     fixture->follower = cw_follower_create(&options);
     cw_cordons_set_follower(fixture->cordons, fixture->follower);
-    fixture->site.owner->options.cordon_ms = CORDON_MS;
+    fixture->cluster.owner->options.cordon_ms = CORDON_MS;
 }
 
 static void
 fixture_end(struct fixture *fixture)
 {
-    site_end(&fixture->site);
+    cluster_end(&fixture->cluster);
     cw_follower_free(fixture->follower);
     if (fixture->port.model != NULL) {
         store_model_free(fixture->port.model);
@@ -130,9 +130,9 @@
 
 /* Queues the starts of the job's runs, as if they had been stored. */
 static void
-queue_starts(struct site *site, struct owner_job *job)
+queue_starts(struct cluster *cluster, struct owner_job *job)
 {
-    site->owner->ownership_confirmed_at = site->clock.now;
+    cluster->owner->ownership_confirmed_at = cluster->clock.now;
     for (unsigned i = 0; i < step_of(job)->count; i++) {
         struct owner_run *run = step_of(job)->tasks[i].run;
         struct cw_task_name name;
@@ -140,8 +140,8 @@
         if (run != NULL && run->phase < RUN_STARTING) {
             name = owner_task_name(run->task);
             run->phase = RUN_READY;
-            owner_order_queue(site->owner, run->target, CW_ORDER_START, &name,
-                              run->number);
+            owner_order_queue(cluster->owner, run->target, CW_ORDER_START,
+                              &name, run->number);
         }
     }
 }
@@ -149,7 +149,7 @@
 /* Sends queued orders every millisecond; returns how many starts were sent to
  * data centres other than d2. */
 static unsigned
-starts_sent_to_cordoned_dcs(struct site *site, unsigned ms)
+starts_sent_to_cordoned_dcs(struct cluster *cluster, unsigned ms)
 {
     unsigned sent = 0;
 
@@ -157,14 +157,15 @@
         GHashTableIter iterator;
         gpointer value;
 
-        site->clock.now = cw_time_add_ms(site->clock.now, 1);
-        site->owner->ownership_confirmed_at = site->clock.now;
-        g_hash_table_iter_init(&iterator, site->owner->targets);
+        cluster->clock.now = cw_time_add_ms(cluster->clock.now, 1);
+        cluster->owner->ownership_confirmed_at = cluster->clock.now;
+        g_hash_table_iter_init(&iterator, cluster->owner->targets);
         while (g_hash_table_iter_next(&iterator, NULL, &value)) {
             struct owner_target *target = value;
 
             last_order.kind = CW_ORDER_POLL;
-            (void)owner_orders_send(site->owner, target, site->clock.now);
+            (void)owner_orders_send(cluster->owner, target,
+                                    cluster->clock.now);
             sent += last_order.kind == CW_ORDER_START &&
                     strcmp(target->dc, "d2") != 0;
         }
@@ -183,8 +184,8 @@
                                      .accelerators = ACCELERATORS,
                                      .checkpoints = true};
 
-    set_guarantee(&fixture->site, 0);
-    return run_job(&fixture->site, 2, &low);
+    set_guarantee(&fixture->cluster, 0);
+    return run_job(&fixture->cluster, 2, &low);
 }
 
 /* ---- records of cordons ---- */
@@ -197,18 +198,21 @@
     fixture_begin(&fixture);
     CU_ASSERT_TRUE(cw_cordons_permits_dc(fixture.cordons, "d0"));
     apply_record(&fixture, "evacuate/d0", "{}");
-    fixture.site.clock.now = cw_time_add_ms(fixture.site.clock.now, 700);
+    fixture.cluster.clock.now = cw_time_add_ms(fixture.cluster.clock.now, 700);
     CU_ASSERT_FALSE(cw_cordons_permits_dc(fixture.cordons, "d0"));
     CU_ASSERT_TRUE(cw_cordons_permits_dc(fixture.cordons, "d1"));
     CU_ASSERT_EQUAL(
-        cw_cordons_age_ms(fixture.cordons, "d0", fixture.site.clock.now), 700);
+        cw_cordons_age_ms(fixture.cordons, "d0", fixture.cluster.clock.now),
+        700);
     apply_record(&fixture, "evacuate/d0", "{}"); /* written again */
     CU_ASSERT_EQUAL(
-        cw_cordons_age_ms(fixture.cordons, "d0", fixture.site.clock.now), 700);
+        cw_cordons_age_ms(fixture.cordons, "d0", fixture.cluster.clock.now),
+        700);
     apply_record(&fixture, "evacuate/d0", NULL);
     CU_ASSERT_TRUE(cw_cordons_permits_dc(fixture.cordons, "d0"));
     CU_ASSERT_EQUAL(
-        cw_cordons_age_ms(fixture.cordons, "d0", fixture.site.clock.now), -1);
+        cw_cordons_age_ms(fixture.cordons, "d0", fixture.cluster.clock.now),
+        -1);
     fixture_end(&fixture);
 }
 
@@ -282,13 +286,13 @@
 
     fixture_begin(&fixture);
     cordon(&fixture);
-    job = add_job(&fixture.site, 0, &all);
-    pass(&fixture.site, 10);
+    job = add_job(&fixture.cluster, 0, &all);
+    pass(&fixture.cluster, 10);
     CU_ASSERT_EQUAL(placed(job), PER_RACK);
     CU_ASSERT_EQUAL(placed_in_cordoned_dcs(job), 0);
     uncordon(&fixture);
-    CU_ASSERT_TRUE(fixture.site.owner->placement_wanted);
-    pass(&fixture.site, 10);
+    CU_ASSERT_TRUE(fixture.cluster.owner->placement_wanted);
+    pass(&fixture.cluster, 10);
     CU_ASSERT_EQUAL(placed(job), RACKS * PER_RACK);
     fixture_end(&fixture);
 }
@@ -308,10 +312,10 @@
     lower = fill_with_lower_priority_work(&fixture);
     CU_ASSERT_EQUAL(placed(lower), RACKS * PER_RACK);
     cordon_all(&fixture);
-    set_guarantee(&fixture.site, 16);
-    urgent = add_job(&fixture.site, 0, &gang);
-    pass(&fixture.site, 10);
-    pass(&fixture.site, 4000);
+    set_guarantee(&fixture.cluster, 16);
+    urgent = add_job(&fixture.cluster, 0, &gang);
+    pass(&fixture.cluster, 10);
+    pass(&fixture.cluster, 4000);
     CU_ASSERT_EQUAL(placed(urgent), 0);
     for (unsigned i = 0; i < step_of(lower)->count; i++) {
         CU_ASSERT_FALSE(step_of(lower)->tasks[i].run->stopping);
@@ -327,9 +331,9 @@
     struct owner_job *job;
 
     fixture_begin(&fixture);
-    job = run_job(&fixture.site, 0, &all);
+    job = run_job(&fixture.cluster, 0, &all);
     cordon(&fixture);
-    pass(&fixture.site, 10);
+    pass(&fixture.cluster, 10);
     CU_ASSERT_EQUAL(placed(job), RACKS * PER_RACK);
     for (unsigned i = 0; i < step_of(job)->count; i++) {
         CU_ASSERT_FALSE(step_of(job)->tasks[i].run->stopping);
@@ -353,11 +357,11 @@
 
     fixture_begin(&fixture);
     cordon(&fixture);
-    urgent = run_job(&fixture.site, 0, &burst);
+    urgent = run_job(&fixture.cluster, 0, &burst);
     CU_ASSERT_EQUAL(placed(urgent), 2);
-    low = add_job(&fixture.site, 2, &many_small);
-    pass(&fixture.site, 10);
-    g_hash_table_iter_init(&iterator, fixture.site.owner->targets);
+    low = add_job(&fixture.cluster, 2, &many_small);
+    pass(&fixture.cluster, 10);
+    g_hash_table_iter_init(&iterator, fixture.cluster.owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         hosts += ((struct owner_target *)value)->lower_priority_runs > 0;
     }
@@ -376,12 +380,12 @@
     struct owner_job *job;
 
     fixture_begin(&fixture);
-    job = add_job(&fixture.site, 0, &all);
-    pass(&fixture.site, 10);
+    job = add_job(&fixture.cluster, 0, &all);
+    pass(&fixture.cluster, 10);
     CU_ASSERT_EQUAL(placed_in_cordoned_dcs(job), 2 * PER_RACK);
-    queue_starts(&fixture.site, job);
+    queue_starts(&fixture.cluster, job);
     cordon(&fixture);
-    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.site, 50), 0);
+    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.cluster, 50), 0);
     CU_ASSERT_EQUAL(placed_in_cordoned_dcs(job), 0);
     CU_ASSERT_EQUAL(placed(job), PER_RACK);
     fixture_end(&fixture);
@@ -395,14 +399,14 @@
     struct owner_job *job;
 
     fixture_begin(&fixture);
-    job = add_job(&fixture.site, 0, &all);
-    pass(&fixture.site, 10);
+    job = add_job(&fixture.cluster, 0, &all);
+    pass(&fixture.cluster, 10);
     for (unsigned i = 0; i < step_of(job)->count; i++) {
         step_of(job)->tasks[i].run->phase = RUN_COMMITTING;
     }
     cordon(&fixture);
-    queue_starts(&fixture.site, job);
-    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.site, 50), 0);
+    queue_starts(&fixture.cluster, job);
+    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.cluster, 50), 0);
     CU_ASSERT_EQUAL(placed_in_cordoned_dcs(job), 0);
     fixture_end(&fixture);
 }
@@ -417,13 +421,13 @@
 
     fixture_begin(&fixture);
     apply_record(&fixture, "evacuate/d2", "{}");
-    job = add_job(&fixture.site, 1, &one);
-    pass(&fixture.site, 10);
-    queue_starts(&fixture.site, job);
-    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.site, 1), 1);
+    job = add_job(&fixture.cluster, 1, &one);
+    pass(&fixture.cluster, 10);
+    queue_starts(&fixture.cluster, job);
+    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.cluster, 1), 1);
     cordon(&fixture);
     answer_last(CW_TARGET_UNKNOWN);
-    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.site, 2000), 0);
+    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.cluster, 2000), 0);
     CU_ASSERT_TRUE(step_of(job)->tasks[0].run->stopping);
     fixture_end(&fixture);
 }
@@ -439,13 +443,13 @@
 
     fixture_begin(&fixture);
     apply_record(&fixture, "evacuate/d2", "{}");
-    job = add_job(&fixture.site, 0, &gang);
-    pass(&fixture.site, 10);
+    job = add_job(&fixture.cluster, 0, &gang);
+    pass(&fixture.cluster, 10);
     CU_ASSERT_EQUAL(placed(job), 6);
     step_of(job)->tasks[0].run->phase = RUN_RUNNING;
-    queue_starts(&fixture.site, job);
+    queue_starts(&fixture.cluster, job);
     cordon(&fixture);
-    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.site, 50), 0);
+    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.cluster, 50), 0);
     CU_ASSERT_TRUE(step_of(job)->tasks[0].run->stopping);
     CU_ASSERT_EQUAL(placed(job), 1); /* until its end is listed */
     fixture_end(&fixture);
@@ -462,19 +466,20 @@
 
     fixture_begin(&fixture);
     lower = fill_with_lower_priority_work(&fixture);
-    set_guarantee(&fixture.site, 16);
-    urgent = add_job(&fixture.site, 0, &one);
-    pass(&fixture.site, 10);
+    set_guarantee(&fixture.cluster, 16);
+    urgent = add_job(&fixture.cluster, 0, &one);
+    pass(&fixture.cluster, 10);
     CU_ASSERT_EQUAL_FATAL(placed(urgent), 1);
     CU_ASSERT_EQUAL(step_of(urgent)->tasks[0].run->phase, RUN_RESERVED);
     cordon_all(&fixture);
     CU_ASSERT_EQUAL(placed(urgent), 0);
     for (unsigned i = 0; i < step_of(lower)->count; i++) {
         if (step_of(lower)->tasks[i].run->stopping) {
-            owner_run_drop(fixture.site.owner, step_of(lower)->tasks[i].run);
+            owner_run_drop(fixture.cluster.owner,
+                           step_of(lower)->tasks[i].run);
         }
     }
-    pass(&fixture.site, 10);
+    pass(&fixture.cluster, 10);
     CU_ASSERT_EQUAL(placed(urgent), 0);
     fixture_end(&fixture);
 }
@@ -490,14 +495,14 @@
     struct owner_job *job;
 
     fixture_begin(&fixture);
-    job = add_job(&fixture.site, 0, &all);
-    pass(&fixture.site, 10);
+    job = add_job(&fixture.cluster, 0, &all);
+    pass(&fixture.cluster, 10);
     follow_cordons(&fixture);
-    queue_starts(&fixture.site, job);
-    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.site, 200), 0);
+    queue_starts(&fixture.cluster, job);
+    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.cluster, 200), 0);
     CU_ASSERT_EQUAL(placed(job), RACKS * PER_RACK);
-    cw_follower_tick(fixture.follower, fixture.site.clock.now);
-    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.site, 1),
+    cw_follower_tick(fixture.follower, fixture.cluster.clock.now);
+    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.cluster, 1),
                     2 * PER_RACK);
     fixture_end(&fixture);
 }
@@ -516,22 +521,23 @@
 
     fixture_begin(&fixture);
     follow_cordons(&fixture);
-    cw_follower_tick(fixture.follower, fixture.site.clock.now);
+    cw_follower_tick(fixture.follower, fixture.cluster.clock.now);
     fixture.port.answer_status = CW_STORE_UNKNOWN;
     store_model_append(fixture.port.model, &append);
-    fixture.site.clock.now =
-        cw_time_add_ms(fixture.site.clock.now, CORDON_MS - 500);
-    job = add_job(&fixture.site, 0, &all);
-    pass(&fixture.site, 1);
-    queue_starts(&fixture.site, job);
-    cw_follower_tick(fixture.follower, fixture.site.clock.now);
-    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.site, 1000), 0);
+    fixture.cluster.clock.now =
+        cw_time_add_ms(fixture.cluster.clock.now, CORDON_MS - 500);
+    job = add_job(&fixture.cluster, 0, &all);
+    pass(&fixture.cluster, 1);
+    queue_starts(&fixture.cluster, job);
+    cw_follower_tick(fixture.follower, fixture.cluster.clock.now);
+    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.cluster, 1000), 0);
     CU_ASSERT_EQUAL(placed(job), RACKS * PER_RACK);
     fixture.port.answer_status = CW_STORE_OK;
-    cw_follower_tick(fixture.follower, fixture.site.clock.now);
+    cw_follower_tick(fixture.follower, fixture.cluster.clock.now);
     CU_ASSERT_FALSE(cw_cordons_permits_dc(fixture.cordons, "d0"));
     /* d1 stays open. */
-    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.site, 1), PER_RACK);
+    CU_ASSERT_EQUAL(starts_sent_to_cordoned_dcs(&fixture.cluster, 1),
+                    PER_RACK);
     fixture_end(&fixture);
 }
 
--- a/tests/test_crashes.c
+++ b/tests/test_crashes.c
@@ -10,7 +10,7 @@
 #include "test_main.h"
 
 #include "owner/internal/owner_crashes.h"
-#include "owner_site.h"
+#include "owner_cluster.h"
 
 enum {
     STARTS_TRIED = 12,
@@ -22,41 +22,42 @@
 
 /* Crashes the worker: another incarnation answers a poll at its address. */
 static void
-crash(struct site *site, struct owner_target *target)
+crash(struct cluster *cluster, struct owner_target *target)
 {
     target->superseded = true;
-    owner_target_lost(site->owner, target, "other_life");
+    owner_target_lost(cluster->owner, target, "other_life");
 }
 
 /* Runs placement until the job is placed, for up to 5 s. */
 static void
-await_placement(struct site *site, const struct owner_job *job)
+await_placement(struct cluster *cluster, const struct owner_job *job)
 {
     for (unsigned i = 0; i < 500 && placed(job) == 0; i++) {
-        pass(site, 10);
+        pass(cluster, 10);
     }
 }
 
 /* Starts the job's first task wherever it is placed and crashes the worker,
  * until the task is no longer placed.  Returns the number of starts. */
 static unsigned
-crash_until_over(struct site *site, struct owner_job *job, unsigned tries)
+crash_until_over(struct cluster *cluster, struct owner_job *job,
+                 unsigned tries)
 {
     unsigned starts = 0;
 
     for (unsigned i = 0; i < tries; i++) {
         struct owner_target *target;
 
-        await_placement(site, job);
+        await_placement(cluster, job);
         target = (struct owner_target *)worker_of(job, 0);
         if (target == NULL) {
             break;
         }
-        confirm_starts(site, job);
+        confirm_starts(cluster, job);
         starts++;
-        pass(site, 10);
-        crash(site, target);
-        add_worker(site, RACKS * PER_RACK + site->added_workers++);
+        pass(cluster, 10);
+        crash(cluster, target);
+        add_worker(cluster, RACKS * PER_RACK + cluster->added_workers++);
     }
     return starts;
 }
@@ -64,26 +65,27 @@
 static void
 test_crashing_task_is_given_up(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    job = add_job(&site, 0, &one);
-    CU_ASSERT_TRUE(crash_until_over(&site, job, STARTS_TRIED) <= STARTS_MAX);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 0, &one);
+    CU_ASSERT_TRUE(crash_until_over(&cluster, job, STARTS_TRIED) <=
+                   STARTS_MAX);
     CU_ASSERT_EQUAL(job->phase, CW_WORK_FAILED);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Returns a job that was restored from the state that another owner has
  * stored. */
 static struct owner_job *
-take_over(struct site *site, GByteArray *state)
+take_over(struct cluster *cluster, GByteArray *state)
 {
-    struct owner_job *job = add_job(site, 0, &one);
+    struct owner_job *job = add_job(cluster, 0, &one);
     GBytes *bytes = g_bytes_new(state->data, state->len);
 
     g_ptr_array_set_size(job->open, 0);
-    CU_ASSERT_TRUE(owner_job_restore(site->owner, job, bytes));
+    CU_ASSERT_TRUE(owner_job_restore(cluster->owner, job, bytes));
     g_bytes_unref(bytes);
     return job;
 }
@@ -98,19 +100,19 @@
     bool over = false;
 
     for (unsigned i = 0; i < STARTS_TRIED && !over; i++) {
-        struct site site;
+        struct cluster cluster;
         struct owner_job *job;
 
-        site_begin(&site);
-        job =
-            state != NULL ? take_over(&site, state) : add_job(&site, 0, &one);
-        starts += crash_until_over(&site, job, 1);
+        cluster_begin(&cluster);
+        job = state != NULL ? take_over(&cluster, state)
+                            : add_job(&cluster, 0, &one);
+        starts += crash_until_over(&cluster, job, 1);
         over = cw_work_is_over(job->phase);
         if (state != NULL) {
             g_byte_array_unref(state);
         }
         state = owner_job_encode(job);
-        site_end(&site);
+        cluster_end(&cluster);
     }
     g_byte_array_unref(state);
     CU_ASSERT_TRUE(over);
@@ -124,23 +126,24 @@
  * suspect.
  */
 static struct owner_target *
-put_on_one_worker(struct site *site, struct owner_job *progressing,
+put_on_one_worker(struct cluster *cluster, struct owner_job *progressing,
                   struct owner_job *crashing)
 {
     struct owner_target *target;
 
     for (unsigned i = 0; i < 100 && placed(progressing) == 0; i++) {
-        pass(site, 10);
+        pass(cluster, 10);
     }
-    confirm_starts(site, progressing);
+    confirm_starts(cluster, progressing);
     step_of(progressing)->tasks[0].run->percent = 20;
     target = (struct owner_target *)worker_of(progressing, 0);
     if (placed(crashing) > 0) {
-        owner_run_drop(site->owner, step_of(crashing)->tasks[0].run);
+        owner_run_drop(cluster->owner, step_of(crashing)->tasks[0].run);
     }
-    (void)owner_run_create(site->owner, &step_of(crashing)->tasks[0], target,
-                           RUN_NEW, step_of(crashing)->tasks[0].last_run + 1);
-    confirm_starts(site, crashing);
+    (void)owner_run_create(cluster->owner, &step_of(crashing)->tasks[0],
+                           target, RUN_NEW,
+                           step_of(crashing)->tasks[0].last_run + 1);
+    confirm_starts(cluster, crashing);
     return target;
 }
 
@@ -148,19 +151,19 @@
 static void
 test_neighbour_of_crashing_task_is_not_given_up(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *progressing;
     struct owner_job *crashing;
 
-    site_begin(&site);
-    progressing = add_job(&site, 0, &one);
-    crashing = add_job(&site, 0, &one);
+    cluster_begin(&cluster);
+    progressing = add_job(&cluster, 0, &one);
+    crashing = add_job(&cluster, 0, &one);
     for (unsigned i = 0; i < 3 && !cw_work_is_over(crashing->phase); i++) {
-        crash(&site, put_on_one_worker(&site, progressing, crashing));
+        crash(&cluster, put_on_one_worker(&cluster, progressing, crashing));
     }
     CU_ASSERT_EQUAL(crashing->phase, CW_WORK_FAILED);
     CU_ASSERT_FALSE(cw_work_is_over(progressing->phase));
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* The limit also holds for a task whose workers crash when it is halfway
@@ -168,81 +171,81 @@
 static void
 test_crashes_after_progress_are_limited(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     unsigned starts = 0;
 
-    site_begin(&site);
-    job = add_job(&site, 0, &one);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 0, &one);
     while (starts < STARTS_TRIED && !cw_work_is_over(job->phase)) {
-        await_placement(&site, job);
-        confirm_starts(&site, job);
+        await_placement(&cluster, job);
+        confirm_starts(&cluster, job);
         step_of(job)->tasks[0].run->percent = 50;
-        crash(&site, (struct owner_target *)worker_of(job, 0));
-        add_worker(&site, RACKS * PER_RACK + site.added_workers++);
+        crash(&cluster, (struct owner_target *)worker_of(job, 0));
+        add_worker(&cluster, RACKS * PER_RACK + cluster.added_workers++);
         starts++;
     }
     CU_ASSERT_EQUAL(starts, 4);
     CU_ASSERT_EQUAL(job->phase, CW_WORK_FAILED);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
 test_draining_worker_adds_no_suspicion(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_target *target;
 
-    site_begin(&site);
-    job = add_job(&site, 0, &one);
-    pass(&site, 10);
-    confirm_starts(&site, job);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 0, &one);
+    pass(&cluster, 10);
+    confirm_starts(&cluster, job);
     target = (struct owner_target *)worker_of(job, 0);
     target->draining = true;
-    crash(&site, target);
+    crash(&cluster, target);
     CU_ASSERT_EQUAL(step_of(job)->tasks[0].suspicion, 0);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Another incarnation answered the first start: the run did nothing. */
 static void
 test_start_answered_by_other_incarnation_adds_no_suspicion(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    job = add_job(&site, 0, &one);
-    pass(&site, 10);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 0, &one);
+    pass(&cluster, 10);
     step_of(job)->tasks[0].run->phase = RUN_STARTING;
-    crash(&site, (struct owner_target *)worker_of(job, 0));
+    crash(&cluster, (struct owner_target *)worker_of(job, 0));
     CU_ASSERT_EQUAL(step_of(job)->tasks[0].suspicion, 0);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Another job's start was in flight: it may have been the cause as well. */
 static void
 test_start_in_flight_makes_cause_unclear(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_job *other;
     struct owner_target *target;
 
-    site_begin(&site);
-    job = add_job(&site, 0, &one);
-    other = add_job(&site, 0, &one);
-    pass(&site, 10);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 0, &one);
+    other = add_job(&cluster, 0, &one);
+    pass(&cluster, 10);
     target = (struct owner_target *)worker_of(job, 0);
-    confirm_starts(&site, job);
-    owner_run_drop(site.owner, step_of(other)->tasks[0].run);
-    owner_run_create(site.owner, &step_of(other)->tasks[0], target,
+    confirm_starts(&cluster, job);
+    owner_run_drop(cluster.owner, step_of(other)->tasks[0].run);
+    owner_run_create(cluster.owner, &step_of(other)->tasks[0], target,
                      RUN_STARTING, 2);
-    crash(&site, target);
+    crash(&cluster, target);
     CU_ASSERT_EQUAL(step_of(job)->tasks[0].suspicion, 4);
     CU_ASSERT_EQUAL(step_of(other)->tasks[0].suspicion, 0);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* ---- gangs and endless jobs ---- */
@@ -252,27 +255,27 @@
 {
     const struct cw_step_spec gang = {
         .tasks = 3, .accelerators = 8, .gang = true};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     unsigned starts = 0;
 
-    site_begin(&site);
-    job = add_job(&site, 0, &gang);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 0, &gang);
     while (starts < STARTS_TRIED && !cw_work_is_over(job->phase)) {
-        await_placement(&site, job);
-        confirm_starts(&site, job);
+        await_placement(&cluster, job);
+        confirm_starts(&cluster, job);
         starts++;
-        crash(&site, (struct owner_target *)worker_of(job, 1));
-        add_worker(&site, RACKS * PER_RACK + site.added_workers++);
+        crash(&cluster, (struct owner_target *)worker_of(job, 1));
+        add_worker(&cluster, RACKS * PER_RACK + cluster.added_workers++);
         for (unsigned i = 0; i < gang.tasks; i++) {
             if (step_of(job)->tasks[i].run != NULL) {
-                owner_run_drop(site.owner, step_of(job)->tasks[i].run);
+                owner_run_drop(cluster.owner, step_of(job)->tasks[i].run);
             }
         }
     }
     CU_ASSERT_EQUAL(job->phase, CW_WORK_FAILED);
     CU_ASSERT_EQUAL(starts, 2);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static const struct cw_step_spec endless_step = {
@@ -281,14 +284,15 @@
 static void
 test_crashing_endless_job_is_given_up(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    job = add_job(&site, 1, &endless_step);
-    CU_ASSERT_TRUE(crash_until_over(&site, job, STARTS_TRIED) <= STARTS_MAX);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 1, &endless_step);
+    CU_ASSERT_TRUE(crash_until_over(&cluster, job, STARTS_TRIED) <=
+                   STARTS_MAX);
     CU_ASSERT_EQUAL(job->phase, CW_WORK_FAILED);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* An endless job that runs for a long time is on a crashed worker repeatedly
@@ -297,63 +301,63 @@
 static void
 test_steady_endless_job_loses_suspicion(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    job = add_job(&site, 1, &endless_step);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 1, &endless_step);
     for (unsigned i = 0; i < STARTS_TRIED; i++) {
         struct owner_run *run;
 
-        CU_ASSERT_EQUAL(crash_until_over(&site, job, 1), 1);
-        await_placement(&site, job);
-        confirm_starts(&site, job);
+        CU_ASSERT_EQUAL(crash_until_over(&cluster, job, 1), 1);
+        await_placement(&cluster, job);
+        confirm_starts(&cluster, job);
         run = step_of(job)->tasks[0].run;
         run->percent = 100;
-        pass(&site, 10000);
-        owner_crashes_observe(run, site.clock.now);
-        crash(&site, run->target);
-        add_worker(&site, RACKS * PER_RACK + site.added_workers++);
+        pass(&cluster, 10000);
+        owner_crashes_observe(run, cluster.clock.now);
+        crash(&cluster, run->target);
+        add_worker(&cluster, RACKS * PER_RACK + cluster.added_workers++);
     }
     CU_ASSERT_FALSE(cw_work_is_over(job->phase));
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* ---- workers that may be cut off ---- */
 
 /* Ends the worker's lease without an answer from it. */
 static void
-lose_unresponsive(struct site *site, struct owner_target *target)
+lose_unresponsive(struct cluster *cluster, struct owner_target *target)
 {
     target->listed = false;
     target->unanswered_polls = 3;
-    owner_target_lost(site->owner, target, "lease_over");
+    owner_target_lost(cluster->owner, target, "lease_over");
 }
 
 static void
 test_suspicion_is_revoked_after_cut(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    job = add_job(&site, 0, &one);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 0, &one);
     for (unsigned i = 0; i < 2 * STARTS_MAX; i++) {
         struct owner_target *target;
 
-        await_placement(&site, job);
-        confirm_starts(&site, job);
+        await_placement(&cluster, job);
+        confirm_starts(&cluster, job);
         target = (struct owner_target *)worker_of(job, 0);
-        lose_unresponsive(&site, target);
+        lose_unresponsive(&cluster, target);
         CU_ASSERT_TRUE(step_of(job)->tasks[0].suspicion > 0);
-        owner_crashes_answered(site.owner, target, 0);
+        owner_crashes_answered(cluster.owner, target, 0);
         CU_ASSERT_EQUAL(step_of(job)->tasks[0].suspicion, 0);
         target->listed = true;
         target->answered = true;
         target->unanswered_polls = 0;
     }
     CU_ASSERT_FALSE(cw_work_is_over(job->phase));
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* The worker returns only after its lease is over: its next incarnation,
@@ -362,51 +366,51 @@
 static void
 test_crash_confirmed_late_counts(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_target *before;
     struct owner_target *next;
 
-    site_begin(&site);
-    job = add_job(&site, 0, &one);
-    CU_ASSERT_EQUAL(crash_until_over(&site, job, 1), 1);
-    pass(&site, 10);
-    confirm_starts(&site, job);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 0, &one);
+    CU_ASSERT_EQUAL(crash_until_over(&cluster, job, 1), 1);
+    pass(&cluster, 10);
+    confirm_starts(&cluster, job);
     before = (struct owner_target *)worker_of(job, 0);
-    owner_crashes_listed(site.owner, before);
-    lose_unresponsive(&site, before);
-    pass(&site, 1000);
+    owner_crashes_listed(cluster.owner, before);
+    lose_unresponsive(&cluster, before);
+    pass(&cluster, 1000);
     CU_ASSERT_EQUAL(placed(job), 0); /* the suspect is delayed */
     CU_ASSERT_FALSE(cw_work_is_over(job->phase));
-    next = owner_target_get(site.owner, "next");
+    next = owner_target_get(cluster.owner, "next");
     next->service = before->service;
     g_free(next->address);
     next->address = g_strdup(before->address);
     next->listed = true;
-    owner_crashes_listed(site.owner, next);
+    owner_crashes_listed(cluster.owner, next);
     CU_ASSERT_EQUAL(job->phase, CW_WORK_FAILED);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Of three workers one has crashed; the others may have been cut off. */
 static void
 test_unresponsive_workers_alone_end_no_job(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    job = add_job(&site, 0, &one);
-    CU_ASSERT_EQUAL(crash_until_over(&site, job, 1), 1);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 0, &one);
+    CU_ASSERT_EQUAL(crash_until_over(&cluster, job, 1), 1);
     for (unsigned i = 0; i < 3 && !cw_work_is_over(job->phase); i++) {
-        await_placement(&site, job);
-        confirm_starts(&site, job);
-        lose_unresponsive(&site, (struct owner_target *)worker_of(job, 0));
+        await_placement(&cluster, job);
+        confirm_starts(&cluster, job);
+        lose_unresponsive(&cluster, (struct owner_target *)worker_of(job, 0));
     }
     CU_ASSERT_FALSE(cw_work_is_over(job->phase));
-    CU_ASSERT_EQUAL(crash_until_over(&site, job, 1), 1);
+    CU_ASSERT_EQUAL(crash_until_over(&cluster, job, 1), 1);
     CU_ASSERT_EQUAL(job->phase, CW_WORK_FAILED);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* If nothing confirms the crash, the task continues within the time that
@@ -414,20 +418,20 @@
 static void
 test_delay_of_suspect_is_limited(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    job = add_job(&site, 0, &one);
-    CU_ASSERT_EQUAL(crash_until_over(&site, job, 1), 1);
-    pass(&site, 10);
-    confirm_starts(&site, job);
-    lose_unresponsive(&site, (struct owner_target *)worker_of(job, 0));
-    pass(&site, 2400);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 0, &one);
+    CU_ASSERT_EQUAL(crash_until_over(&cluster, job, 1), 1);
+    pass(&cluster, 10);
+    confirm_starts(&cluster, job);
+    lose_unresponsive(&cluster, (struct owner_target *)worker_of(job, 0));
+    pass(&cluster, 2400);
     CU_ASSERT_EQUAL(placed(job), 0);
-    pass(&site, 150);
+    pass(&cluster, 150);
     CU_ASSERT_EQUAL(placed(job), 1);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* ---- suspects start apart from other runs ---- */
@@ -435,17 +439,17 @@
 static void
 test_suspect_is_started_on_idle_worker(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    (void)run_job(&site, 0, &one);
-    job = add_job(&site, 0, &one);
-    CU_ASSERT_EQUAL(crash_until_over(&site, job, 1), 1);
-    pass(&site, 10);
+    cluster_begin(&cluster);
+    (void)run_job(&cluster, 0, &one);
+    job = add_job(&cluster, 0, &one);
+    CU_ASSERT_EQUAL(crash_until_over(&cluster, job, 1), 1);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(placed(job), 1);
     CU_ASSERT_EQUAL(worker_of(job, 0)->runs->len, 1);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
@@ -453,43 +457,43 @@
 {
     const struct cw_step_spec many = {.tasks = 2 * RACKS * PER_RACK,
                                       .accelerators = 4};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_run *run;
 
-    site_begin(&site);
-    job = add_job(&site, 0, &one);
-    CU_ASSERT_EQUAL(crash_until_over(&site, job, 1), 1);
-    pass(&site, 10);
-    confirm_starts(&site, job);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 0, &one);
+    CU_ASSERT_EQUAL(crash_until_over(&cluster, job, 1), 1);
+    pass(&cluster, 10);
+    confirm_starts(&cluster, job);
     run = step_of(job)->tasks[0].run;
-    (void)add_job(&site, 0, &many);
-    pass(&site, 10);
+    (void)add_job(&cluster, 0, &many);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(run->target->runs->len, 1);
     run->percent = 1;
-    owner_crashes_observe(run, site.clock.now);
-    pass(&site, 10);
+    owner_crashes_observe(run, cluster.clock.now);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(run->target->runs->len, 2);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
 test_explain_reports_suspicion(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     GString *out = g_string_new(NULL);
 
-    site_begin(&site);
-    job = add_job(&site, 0, &one);
-    CU_ASSERT_EQUAL(crash_until_over(&site, job, 1), 1);
-    CU_ASSERT_TRUE(
-        cw_owner_explain(site.owner, job->spec->id, site.clock.now, out));
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 0, &one);
+    CU_ASSERT_EQUAL(crash_until_over(&cluster, job, 1), 1);
+    CU_ASSERT_TRUE(cw_owner_explain(cluster.owner, job->spec->id,
+                                    cluster.clock.now, out));
     CU_ASSERT_PTR_NOT_NULL(
         strstr(out->str, "crashes of workers speak against 1 of its tasks"));
-    CU_ASSERT_EQUAL(site.counters.named[CW_COUNT_CRASHES], 1);
+    CU_ASSERT_EQUAL(cluster.counters.named[CW_COUNT_CRASHES], 1);
     g_string_free(out, TRUE);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static const struct test tests[] = {
--- a/tests/test_endless.c
+++ b/tests/test_endless.c
@@ -1,7 +1,7 @@
 /* Preemption of endless jobs: the limit on tasks that are unavailable. */
 #include "test_main.h"
 
-#include "owner_site.h"
+#include "owner_cluster.h"
 
 static unsigned
 count_stopping(const struct owner_job *job)
@@ -19,7 +19,7 @@
 /* Fills every worker with a task of an endless job, whose account has no
  * guarantee; all tasks are in service. */
 static struct owner_job *
-fill_site(struct site *site, unsigned may_miss)
+fill_cluster(struct cluster *cluster, unsigned may_miss)
 {
     const struct cw_step_spec endless_step = {.tasks = RACKS * PER_RACK,
                                               .accelerators = ACCELERATORS,
@@ -27,13 +27,13 @@
                                               .may_miss = may_miss};
     struct owner_job *job;
 
-    site_begin(site);
-    job = add_job_for_account(site, "other", 1, &endless_step);
+    cluster_begin(cluster);
+    job = add_job_for_account(cluster, "other", 1, &endless_step);
     for (unsigned i = 0; i < 2000 && placed(job) < endless_step.tasks; i++) {
-        pass(site, 10);
+        pass(cluster, 10);
     }
     CU_ASSERT_EQUAL(placed(job), endless_step.tasks);
-    set_running(site, job);
+    set_running(cluster, job);
     for (unsigned i = 0; i < endless_step.tasks; i++) {
         step_of(job)->tasks[i].run->percent = 100;
     }
@@ -45,15 +45,15 @@
 {
     const struct cw_step_spec urgent = {.tasks = 4,
                                         .accelerators = ACCELERATORS};
-    struct site site;
-    struct owner_job *job = fill_site(&site, 2);
+    struct cluster cluster;
+    struct owner_job *job = fill_cluster(&cluster, 2);
 
-    (void)add_job(&site, 0, &urgent);
+    (void)add_job(&cluster, 0, &urgent);
     for (unsigned i = 0; i < 100; i++) {
-        pass(&site, 10);
+        pass(&cluster, 10);
     }
     CU_ASSERT_TRUE(count_stopping(job) <= 2);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
@@ -61,23 +61,23 @@
 {
     const struct cw_step_spec urgent = {.tasks = 4,
                                         .accelerators = ACCELERATORS};
-    struct site site;
-    struct owner_job *job = fill_site(&site, 0);
+    struct cluster cluster;
+    struct owner_job *job = fill_cluster(&cluster, 0);
 
-    (void)add_job(&site, 0, &urgent);
+    (void)add_job(&cluster, 0, &urgent);
     for (unsigned i = 0; i < 100; i++) {
-        pass(&site, 10);
+        pass(&cluster, 10);
     }
     CU_ASSERT_EQUAL(count_stopping(job), 4);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* A task that is unavailable already may be stopped. */
 static void
 test_unavailable_task_may_be_stopped(void)
 {
-    struct site site;
-    struct owner_job *job = fill_site(&site, 1);
+    struct cluster cluster;
+    struct owner_job *job = fill_cluster(&cluster, 1);
     struct owner_run *first = step_of(job)->tasks[0].run;
     struct owner_run *second = step_of(job)->tasks[1].run;
 
@@ -85,7 +85,7 @@
     first->percent = 50;
     CU_ASSERT_FALSE(owner_endless_protects(first, NULL));
     CU_ASSERT_TRUE(owner_endless_protects(second, NULL));
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static const struct test tests[] = {
--- a/tests/test_gang_dcs.c
+++ b/tests/test_gang_dcs.c
@@ -5,19 +5,19 @@
  */
 #include "test_main.h"
 
-#include "owner_site.h"
+#include "owner_cluster.h"
 
 /* Racks of four workers: the first in one data centre, the others in
  * another. */
 static void
-begin_in_two_dcs(struct site *site)
+begin_in_two_dcs(struct cluster *cluster)
 {
     GHashTableIter iterator;
     gpointer value;
 
-    site_begin(site);
-    set_guarantee(site, 0);
-    g_hash_table_iter_init(&iterator, site->owner->targets);
+    cluster_begin(cluster);
+    set_guarantee(cluster, 0);
+    g_hash_table_iter_init(&iterator, cluster->owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct owner_target *target = value;
 
@@ -38,13 +38,13 @@
 }
 
 static struct owner_job *
-place_gang(struct site *site, unsigned tasks, unsigned priority)
+place_gang(struct cluster *cluster, unsigned tasks, unsigned priority)
 {
     struct cw_step_spec gang = {
         .tasks = tasks, .accelerators = ACCELERATORS, .gang = true};
-    struct owner_job *job = add_job(site, priority, &gang);
+    struct owner_job *job = add_job(cluster, priority, &gang);
 
-    pass(site, 10);
+    pass(cluster, 10);
     return job;
 }
 
@@ -54,14 +54,14 @@
 test_a_gang_that_fits_into_a_data_centre_uses_one(void)
 {
     for (unsigned priority = 0; priority < 2; priority++) {
-        struct site site;
+        struct cluster cluster;
         struct owner_job *job;
 
-        begin_in_two_dcs(&site);
-        job = place_gang(&site, 6, priority);
+        begin_in_two_dcs(&cluster);
+        job = place_gang(&cluster, 6, priority);
         CU_ASSERT_EQUAL(placed(job), 6);
         CU_ASSERT_EQUAL(tasks_in_dc(job, "d2"), 6);
-        site_end(&site);
+        cluster_end(&cluster);
     }
 }
 
@@ -70,14 +70,14 @@
 static void
 test_a_gang_beyond_a_data_centre_uses_the_fewest(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    begin_in_two_dcs(&site);
-    job = place_gang(&site, 10, 1);
+    begin_in_two_dcs(&cluster);
+    job = place_gang(&cluster, 10, 1);
     CU_ASSERT_EQUAL(placed(job), 10);
     CU_ASSERT_EQUAL(tasks_in_dc(job, "d2"), 8);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Guards against a gang that uses the larger of two data centres into which it
@@ -87,22 +87,23 @@
 {
     static const struct cw_step_spec single = {.tasks = 1,
                                                .accelerators = ACCELERATORS};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *narrow;
 
-    begin_in_two_dcs(&site);
+    begin_in_two_dcs(&cluster);
     for (unsigned i = 4; i < 6; i++) {
-        struct owner_job *job = add_job(&site, 1, &single);
+        struct owner_job *job = add_job(&cluster, 1, &single);
         char name[16];
 
         g_snprintf(name, sizeof(name), "w%02u", i);
-        owner_run_create(site.owner, &step_of(job)->tasks[0],
-                         owner_target_get(site.owner, name), RUN_RUNNING, 1);
+        owner_run_create(cluster.owner, &step_of(job)->tasks[0],
+                         owner_target_get(cluster.owner, name), RUN_RUNNING,
+                         1);
     }
-    narrow = place_gang(&site, 5, 1); /* of four and six free workers */
+    narrow = place_gang(&cluster, 5, 1); /* of four and six free workers */
     CU_ASSERT_EQUAL(tasks_in_dc(narrow, "d2"), 5);
-    CU_ASSERT_EQUAL(tasks_in_dc(place_gang(&site, 4, 1), "d1"), 4);
-    site_end(&site);
+    CU_ASSERT_EQUAL(tasks_in_dc(place_gang(&cluster, 4, 1), "d1"), 4);
+    cluster_end(&cluster);
 }
 
 /* Guards against more members on a worker than the step allows. */
@@ -111,17 +112,17 @@
 {
     struct cw_step_spec gang = {
         .tasks = 7, .accelerators = 1, .most_per_worker = 1, .gang = true};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    begin_in_two_dcs(&site);
-    job = add_job(&site, 1, &gang);
-    pass(&site, 10);
+    begin_in_two_dcs(&cluster);
+    job = add_job(&cluster, 1, &gang);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(tasks_in_dc(job, "d2"), 7);
     for (unsigned i = 1; i < 7; i++) {
         CU_ASSERT_PTR_NOT_EQUAL(worker_of(job, i), worker_of(job, i - 1));
     }
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static const struct test tests[] = {
--- a/tests/test_group.c
+++ b/tests/test_group.c
@@ -4,7 +4,7 @@
  * an owner. */
 #include "test_main.h"
 
-#include "owner_site.h"
+#include "owner_cluster.h"
 #include "platform/platform.h"
 #include "fake_store.h"
 
--- a/tests/test_idle_causes.c
+++ b/tests/test_idle_causes.c
@@ -19,7 +19,7 @@
  * emulator's calm days with wide jobs; without them none does. */
 #include "test_main.h"
 
-#include "owner_site.h"
+#include "owner_cluster.h"
 
 enum {
     /* A job may be idle for 3 s; the limit is lower by the time that a
@@ -34,32 +34,32 @@
 
 /* Adds a job of one task and sends its start. */
 static struct owner_run *
-start_job(struct site *site)
+start_job(struct cluster *cluster)
 {
-    struct owner_job *job = add_job(site, 1, &one);
+    struct owner_job *job = add_job(cluster, 1, &one);
     struct owner_run *run;
 
-    pass(site, 10);
-    run = send_job_start(site, job);
+    pass(cluster, 10);
+    run = send_job_start(cluster, job);
     CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_START);
     return run;
 }
 
 /* Sends the orders that are due; true if the last one was a start. */
 static bool
-sends_start(struct site *site, struct owner_target *target, unsigned ms)
+sends_start(struct cluster *cluster, struct owner_target *target, unsigned ms)
 {
     guint before = unanswered->len;
 
-    site->clock.now = cw_time_add_ms(site->clock.now, ms);
-    site->owner->ownership_confirmed_at = site->clock.now;
-    owner_orders_send(site->owner, target, site->clock.now);
+    cluster->clock.now = cw_time_add_ms(cluster->clock.now, ms);
+    cluster->owner->ownership_confirmed_at = cluster->clock.now;
+    owner_orders_send(cluster->owner, target, cluster->clock.now);
     return unanswered->len > before && last_order.kind == CW_ORDER_START;
 }
 
 /* Polls the run's worker, which lists the run with this progress. */
 static void
-list_run_with_percent(struct site *site, const struct owner_run *run,
+list_run_with_percent(struct cluster *cluster, const struct owner_run *run,
                       unsigned percent)
 {
     struct cw_running row = {.task = owner_task_name(run->task),
@@ -70,9 +70,9 @@
         .status = CW_TARGET_OK, .running = &row, .running_count = 1};
     struct cw_target_order poll;
 
-    site->owner->ownership_confirmed_at = site->clock.now;
-    run->target->poll_due = site->clock.now;
-    owner_poll_tick(site->owner, run->target, site->clock.now);
+    cluster->owner->ownership_confirmed_at = cluster->clock.now;
+    run->target->poll_due = cluster->clock.now;
+    owner_poll_tick(cluster->owner, run->target, cluster->clock.now);
     poll = last_order;
     CU_ASSERT_EQUAL(poll.kind, CW_ORDER_POLL);
     g_array_set_size(unanswered, unanswered->len - 1);
@@ -80,49 +80,49 @@
 }
 
 static void
-list_run(struct site *site, const struct owner_run *run)
+list_run(struct cluster *cluster, const struct owner_run *run)
 {
-    list_run_with_percent(site, run, 5);
+    list_run_with_percent(cluster, run, 5);
 }
 
 static void
 test_a_listed_run_is_not_started_again(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_run *run;
 
-    site_begin(&site);
-    run = start_job(&site);
+    cluster_begin(&cluster);
+    run = start_job(&cluster);
     answer_last(CW_TARGET_UNKNOWN);
-    list_run(&site, run);
+    list_run(&cluster, run);
     CU_ASSERT_EQUAL(run->phase, RUN_RUNNING);
-    CU_ASSERT_FALSE(sends_start(&site, run->target, 1000));
+    CU_ASSERT_FALSE(sends_start(&cluster, run->target, 1000));
     CU_ASSERT_EQUAL(run->phase, RUN_RUNNING);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* The worker answers polls in time, and each start too late. */
 static void
 test_a_listed_run_is_not_stopped_without_an_answer(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_run *run;
 
-    site_begin(&site);
-    run = start_job(&site);
+    cluster_begin(&cluster);
+    run = start_job(&cluster);
     for (unsigned tries = 0; tries < 6 && !run->stopping; tries++) {
         struct cw_target_order start = last_order;
         const struct cw_target_answer none = {.status = CW_TARGET_UNKNOWN};
 
         g_array_set_size(unanswered, unanswered->len - 1);
-        list_run(&site, run);
+        list_run(&cluster, run);
         start.done(start.context, &none);
-        if (!sends_start(&site, run->target, 1000)) {
+        if (!sends_start(&cluster, run->target, 1000)) {
             break;
         }
     }
     CU_ASSERT_FALSE(run->stopping);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Guards against runs that are given up within milliseconds, as a reset
@@ -131,83 +131,83 @@
 static void
 test_starts_that_fail_at_once_are_delayed(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_run *run;
     unsigned ms = 0;
 
-    site_begin(&site);
-    run = start_job(&site);
+    cluster_begin(&cluster);
+    run = start_job(&cluster);
     answer_last(CW_TARGET_UNKNOWN);
     for (; ms < 3000 && !run->stopping; ms++) {
-        if (sends_start(&site, run->target, 1)) {
+        if (sends_start(&cluster, run->target, 1)) {
             answer_last(CW_TARGET_UNKNOWN);
         }
     }
     CU_ASSERT_TRUE(ms > 500);
     CU_ASSERT_TRUE(ms < 1500);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* ---- polls that decide what happens to a run ---- */
 
 static void
-send_poll(struct site *site, struct owner_target *target)
+send_poll(struct cluster *cluster, struct owner_target *target)
 {
-    site->owner->ownership_confirmed_at = site->clock.now;
-    target->poll_due = site->clock.now;
-    owner_poll_tick(site->owner, target, site->clock.now);
+    cluster->owner->ownership_confirmed_at = cluster->clock.now;
+    target->poll_due = cluster->clock.now;
+    owner_poll_tick(cluster->owner, target, cluster->clock.now);
     CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_POLL);
 }
 
 static void
 test_a_poll_for_a_start_without_an_answer_does_not_wait(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_run *run;
 
-    site_begin(&site);
-    run = start_job(&site);
+    cluster_begin(&cluster);
+    run = start_job(&cluster);
     answer_last(CW_TARGET_UNKNOWN);
-    send_poll(&site, run->target);
+    send_poll(&cluster, run->target);
     CU_ASSERT_EQUAL(last_order.wait_ms, 0);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* The gang waits only for the information whether the run had begun. */
 static void
 test_a_poll_after_a_confirmed_stop_does_not_wait(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_run *run;
 
-    site_begin(&site);
-    run = start_job(&site);
+    cluster_begin(&cluster);
+    run = start_job(&cluster);
     run->stopping = true;
     run->stop_confirmed = true;
-    run->stop_confirmed_at = site.clock.now;
-    send_poll(&site, run->target);
+    run->stop_confirmed_at = cluster.clock.now;
+    send_poll(&cluster, run->target);
     CU_ASSERT_EQUAL(last_order.wait_ms, 0);
     run->stopping = false; /* as before the test changed it */
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
 test_a_poll_after_an_unanswered_one_does_not_wait(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_target *target;
 
-    site_begin(&site);
-    job = run_job(&site, 1, &one);
+    cluster_begin(&cluster);
+    job = run_job(&cluster, 1, &one);
     target = step_of(job)->tasks[0].run->target;
-    send_poll(&site, target);
+    send_poll(&cluster, target);
     CU_ASSERT_TRUE(last_order.wait_ms > 0);
     answer_last(CW_TARGET_UNKNOWN);
     CU_ASSERT_EQUAL(target->unanswered_polls, 1);
-    send_poll(&site, target);
+    send_poll(&cluster, target);
     CU_ASSERT_EQUAL(last_order.wait_ms, 0);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* ---- workers that hang ---- */
@@ -219,7 +219,7 @@
  * member makes progress of `percent_step` each time, the other one none. False
  * if the gang is stopped. */
 static bool
-goes_on_for(struct site *site, struct owner_step *step, unsigned ms,
+goes_on_for(struct cluster *cluster, struct owner_step *step, unsigned ms,
             unsigned percent_step)
 {
     for (unsigned passed = 0; passed < ms; passed += 500) {
@@ -227,12 +227,12 @@
             struct owner_run *run = step->tasks[i].run;
             unsigned percent = run->percent + (i == 0 ? percent_step : 0);
 
-            list_run_with_percent(site, run, MIN(percent, 100));
+            list_run_with_percent(cluster, run, MIN(percent, 100));
             if (run->stopping) {
                 return false;
             }
         }
-        site->clock.now = cw_time_add_ms(site->clock.now, 500);
+        cluster->clock.now = cw_time_add_ms(cluster->clock.now, 500);
     }
     return true;
 }
@@ -244,29 +244,29 @@
 static void
 test_a_member_that_waits_for_the_longest_is_not_stalled(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_step *step;
 
-    site_begin(&site);
-    step = step_of(run_job(&site, 1, &pair));
+    cluster_begin(&cluster);
+    step = step_of(run_job(&cluster, 1, &pair));
     step->tasks[1].run->percent = 100;
-    CU_ASSERT_TRUE(goes_on_for(&site, step, 20000, 1));
-    site_end(&site);
+    CU_ASSERT_TRUE(goes_on_for(&cluster, step, 20000, 1));
+    cluster_end(&cluster);
 }
 
 /* Guards against work that stays on a worker that hangs. */
 static void
 test_a_stalled_member_is_moved(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_step *step;
 
-    site_begin(&site);
-    step = step_of(run_job(&site, 1, &pair));
+    cluster_begin(&cluster);
+    step = step_of(run_job(&cluster, 1, &pair));
     step->tasks[1].run->percent = 40;
-    CU_ASSERT_TRUE(goes_on_for(&site, step, 4000, 10));
-    CU_ASSERT_FALSE(goes_on_for(&site, step, 1500, 10));
-    site_end(&site);
+    CU_ASSERT_TRUE(goes_on_for(&cluster, step, 4000, 10));
+    CU_ASSERT_FALSE(goes_on_for(&cluster, step, 1500, 10));
+    cluster_end(&cluster);
 }
 
 /* Does the same for a worker that hangs when all members are at 100 percent.
@@ -274,15 +274,15 @@
 static void
 test_a_gang_that_does_not_end_is_stalled(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_step *step;
 
-    site_begin(&site);
-    step = step_of(run_job(&site, 1, &pair));
+    cluster_begin(&cluster);
+    step = step_of(run_job(&cluster, 1, &pair));
     step->tasks[0].run->percent = 100;
     step->tasks[1].run->percent = 100;
-    CU_ASSERT_FALSE(goes_on_for(&site, step, 6000, 0));
-    site_end(&site);
+    CU_ASSERT_FALSE(goes_on_for(&cluster, step, 6000, 0));
+    cluster_end(&cluster);
 }
 
 /* ---- capacity that is withheld from a job ---- */
@@ -293,8 +293,8 @@
 /* Runs placement passes until the job has a run, and calls `withhold` for each
  * worker before each pass.  Returns how long that took. */
 static unsigned
-placed_after_ms(struct site *site, const struct owner_job *job,
-                void (*withhold)(struct site *, struct owner_target *))
+placed_after_ms(struct cluster *cluster, const struct owner_job *job,
+                void (*withhold)(struct cluster *, struct owner_target *))
 {
     unsigned ms = 0;
 
@@ -302,51 +302,51 @@
         GHashTableIter iterator;
         gpointer value;
 
-        g_hash_table_iter_init(&iterator, site->owner->targets);
+        g_hash_table_iter_init(&iterator, cluster->owner->targets);
         while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-            withhold(site, value);
+            withhold(cluster, value);
         }
-        pass(site, STEP_MS);
+        pass(cluster, STEP_MS);
     }
     return ms;
 }
 
 /* Adds a job that waits while urgent work runs on nine of twelve workers. */
 static struct owner_job *
-wait_in_full_service(struct site *site, const struct cw_step_spec *like)
+wait_in_full_service(struct cluster *cluster, const struct cw_step_spec *like)
 {
-    site_begin(site);
-    set_guarantee(site, RACKS * PER_RACK * ACCELERATORS);
-    run_job(site, 0, &nine_workers);
-    return add_job(site, 2, like);
+    cluster_begin(cluster);
+    set_guarantee(cluster, RACKS * PER_RACK * ACCELERATORS);
+    run_job(cluster, 0, &nine_workers);
+    return add_job(cluster, 2, like);
 }
 
 /* Reserves headroom as after a burst of urgent work. */
 static void
-reserve_headroom(struct site *site, struct owner_target *target)
+reserve_headroom(struct cluster *cluster, struct owner_target *target)
 {
     struct owner_headroom *headroom =
-        g_hash_table_lookup(site->owner->headroom, "s");
+        g_hash_table_lookup(cluster->owner->headroom, "s");
 
     (void)target;
     cw_headroom_observe(&headroom->forecast, RACKS * PER_RACK * ACCELERATORS,
-                        site->clock.now);
+                        cluster->clock.now);
 }
 
 static void
-reserve_rack(struct site *site, struct owner_target *target)
+reserve_rack(struct cluster *cluster, struct owner_target *target)
 {
-    target->rack_reserved_for = site; /* some other step */
+    target->rack_reserved_for = cluster; /* some other step */
     target->rack_reserved_priority = 1;
-    target->rack_reserved_until = cw_time_add_ms(site->clock.now, 400);
+    target->rack_reserved_until = cw_time_add_ms(cluster->clock.now, 400);
 }
 
 static void
-make_suspect(struct site *site, struct owner_target *target)
+make_suspect(struct cluster *cluster, struct owner_target *target)
 {
     if (target->runs->len == 0) {
         target->incarnation.suspect_until =
-            cw_time_add_ms(site->clock.now, 7000);
+            cw_time_add_ms(cluster->clock.now, 7000);
         target->incarnation.slow_until = target->incarnation.suspect_until;
     }
 }
@@ -354,9 +354,9 @@
 static void
 test_no_capacity_is_withheld_for_three_seconds(void)
 {
-    static void (*const withholders[])(
-        struct site *, struct owner_target *) = {reserve_headroom,
-                                                 reserve_rack, make_suspect};
+    static void (*const withholders[])(struct cluster *,
+                                       struct owner_target *) = {
+        reserve_headroom, reserve_rack, make_suspect};
     static const struct cw_step_spec gang = {
         .tasks = 3, .accelerators = 4, .gang = true};
     static const struct cw_step_spec wide = {.tasks = 40, .accelerators = 1};
@@ -364,12 +364,12 @@
 
     for (unsigned k = 0; k < G_N_ELEMENTS(withholders); k++) {
         for (unsigned i = 0; i < G_N_ELEMENTS(steps); i++) {
-            struct site site;
-            struct owner_job *job = wait_in_full_service(&site, steps[i]);
+            struct cluster cluster;
+            struct owner_job *job = wait_in_full_service(&cluster, steps[i]);
 
-            CU_ASSERT_TRUE(placed_after_ms(&site, job, withholders[k]) <=
+            CU_ASSERT_TRUE(placed_after_ms(&cluster, job, withholders[k]) <=
                            PLACED_WITHIN_MS);
-            site_end(&site);
+            cluster_end(&cluster);
         }
     }
 }
@@ -380,12 +380,12 @@
 test_a_wide_job_borrows_for_one_task_only(void)
 {
     static const struct cw_step_spec wide = {.tasks = 40, .accelerators = 1};
-    struct site site;
-    struct owner_job *job = wait_in_full_service(&site, &wide);
+    struct cluster cluster;
+    struct owner_job *job = wait_in_full_service(&cluster, &wide);
 
-    placed_after_ms(&site, job, reserve_headroom);
+    placed_after_ms(&cluster, job, reserve_headroom);
     CU_ASSERT_EQUAL(placed(job), 1);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* A gang that needs four whole workers in a rack cannot be placed.  One that
@@ -399,24 +399,24 @@
         .tasks = 4, .accelerators = 8, .gang = true, .same_rack = true};
     static const struct cw_step_spec beyond = {
         .tasks = 9, .accelerators = 8, .gang = true, .same_rack = true};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_job *small;
     static const char *const workers[] = {"w00", "w04", "w08"};
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    small = add_job(&site, 1, &each);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    small = add_job(&cluster, 1, &each);
     for (unsigned i = 0; i < G_N_ELEMENTS(workers); i++) {
-        owner_run_create(site.owner, &step_of(small)->tasks[i],
-                         owner_target_get(site.owner, workers[i]), RUN_RUNNING,
-                         1);
+        owner_run_create(cluster.owner, &step_of(small)->tasks[i],
+                         owner_target_get(cluster.owner, workers[i]),
+                         RUN_RUNNING, 1);
     }
-    add_job(&site, 1, &in_rack);
-    job = add_job(&site, 1, &beyond);
-    pass(&site, 10);
+    add_job(&cluster, 1, &in_rack);
+    job = add_job(&cluster, 1, &beyond);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(placed(job), 9);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static const struct test tests[] = {
--- a/tests/test_idle_jobs.c
+++ b/tests/test_idle_jobs.c
@@ -9,7 +9,7 @@
 #include "test_main.h"
 
 #include "owner/internal/owner_crashes.h"
-#include "owner_site.h"
+#include "owner_cluster.h"
 
 static const struct cw_step_spec two = {.tasks = 2, .accelerators = 4};
 static const struct cw_step_spec all_workers = {.tasks = RACKS * PER_RACK,
@@ -17,8 +17,8 @@
 
 /* The worker lists a task as failed. */
 static void
-fail(struct site *site, struct owner_target *target, struct owner_job *job,
-     unsigned index)
+fail(struct cluster *cluster, struct owner_target *target,
+     struct owner_job *job, unsigned index)
 {
     struct owner_task *task = &step_of(job)->tasks[index];
     struct cw_ended ended = {.number = target->incarnation.ends_applied + 1,
@@ -28,72 +28,72 @@
                              .saved = ""};
 
     if (task->run != NULL) {
-        owner_run_drop(site->owner, task->run);
+        owner_run_drop(cluster->owner, task->run);
     }
-    owner_run_create(site->owner, task, target, RUN_RUNNING,
+    owner_run_create(cluster->owner, task, target, RUN_RUNNING,
                      task->last_run + 1);
     target->incarnation.ends_applied++;
-    owner_run_ended(site->owner, target, &ended);
+    owner_run_ended(cluster->owner, target, &ended);
 }
 
 static void
 test_failures_of_one_job_do_not_exclude_a_worker(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_target *target;
     struct owner_job *job;
 
-    site_begin(&site);
-    target = owner_target_get(site.owner, "w00");
-    job = add_job(&site, 1, &two);
-    fail(&site, target, job, 0);
-    fail(&site, target, job, 1);
-    CU_ASSERT_TRUE(owner_target_usable(target, site.clock.now));
-    site_end(&site);
+    cluster_begin(&cluster);
+    target = owner_target_get(cluster.owner, "w00");
+    job = add_job(&cluster, 1, &two);
+    fail(&cluster, target, job, 0);
+    fail(&cluster, target, job, 1);
+    CU_ASSERT_TRUE(owner_target_usable(target, cluster.clock.now));
+    cluster_end(&cluster);
 }
 
 static void
 test_failures_of_two_jobs_exclude_a_worker(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_target *target;
 
-    site_begin(&site);
-    target = owner_target_get(site.owner, "w00");
-    fail(&site, target, add_job(&site, 1, &two), 0);
-    fail(&site, target, add_job(&site, 1, &two), 0);
-    CU_ASSERT_FALSE(owner_target_usable(target, site.clock.now));
-    site_end(&site);
+    cluster_begin(&cluster);
+    target = owner_target_get(cluster.owner, "w00");
+    fail(&cluster, target, add_job(&cluster, 1, &two), 0);
+    fail(&cluster, target, add_job(&cluster, 1, &two), 0);
+    CU_ASSERT_FALSE(owner_target_usable(target, cluster.clock.now));
+    cluster_end(&cluster);
 }
 
 /* ---- detection of idle jobs ---- */
 
 /* Lets time pass without placement, then checks for idle jobs. */
 static struct cw_owner_stats
-check_after(struct site *site, unsigned ms)
+check_after(struct cluster *cluster, unsigned ms)
 {
     struct cw_owner_stats stats;
 
-    site->clock.now = cw_time_add_ms(site->clock.now, ms);
-    site->owner->ownership_confirmed_at = site->clock.now;
-    owner_idle_tick(site->owner, site->clock.now);
-    cw_owner_stats(site->owner, &stats);
+    cluster->clock.now = cw_time_add_ms(cluster->clock.now, ms);
+    cluster->owner->ownership_confirmed_at = cluster->clock.now;
+    owner_idle_tick(cluster->owner, cluster->clock.now);
+    cw_owner_stats(cluster->owner, &stats);
     return stats;
 }
 
 static void
 test_an_unplaced_job_is_reported_after_three_seconds(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct cw_owner_stats stats;
 
-    site_begin(&site);
-    add_job(&site, 1, &two);
-    CU_ASSERT_EQUAL(check_after(&site, 2900).waiting, 0);
-    stats = check_after(&site, 600);
+    cluster_begin(&cluster);
+    add_job(&cluster, 1, &two);
+    CU_ASSERT_EQUAL(check_after(&cluster, 2900).waiting, 0);
+    stats = check_after(&cluster, 600);
     CU_ASSERT_EQUAL(stats.waiting, 1);
     CU_ASSERT_EQUAL(stats.longest_wait_ms, 3500);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* The owner assumes that the job runs, but no worker has listed it for
@@ -101,24 +101,24 @@
 static void
 test_an_unlisted_run_is_reported(void)
 {
-    struct site site;
+    struct cluster cluster;
 
-    site_begin(&site);
-    run_job(&site, 1, &two);
-    CU_ASSERT_EQUAL(check_after(&site, 3500).waiting, 1);
-    site_end(&site);
+    cluster_begin(&cluster);
+    run_job(&cluster, 1, &two);
+    CU_ASSERT_EQUAL(check_after(&cluster, 3500).waiting, 1);
+    cluster_end(&cluster);
 }
 
 static void
 test_a_job_without_free_capacity_is_not_reported(void)
 {
-    struct site site;
+    struct cluster cluster;
 
-    site_begin(&site);
-    run_job(&site, 0, &all_workers);
-    add_job(&site, 1, &two);
-    CU_ASSERT_EQUAL(check_after(&site, 3500).waiting, 0);
-    site_end(&site);
+    cluster_begin(&cluster);
+    run_job(&cluster, 0, &all_workers);
+    add_job(&cluster, 1, &two);
+    CU_ASSERT_EQUAL(check_after(&cluster, 3500).waiting, 0);
+    cluster_end(&cluster);
 }
 
 /* Most of the service is in use, but twice what the job needs is free. */
@@ -129,21 +129,21 @@
         .tasks = 9, .accelerators = ACCELERATORS};
     static const struct cw_step_spec gang = {
         .tasks = 2, .accelerators = ACCELERATORS, .gang = true};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *running;
 
-    site_begin(&site);
-    running = run_job(&site, 0, &most_workers);
-    add_job(&site, 1, &two);
-    CU_ASSERT_EQUAL(check_after(&site, 2900).waiting, 0);
-    owner_idle_end(site.owner, running);
-    CU_ASSERT_EQUAL(check_after(&site, 600).waiting, 1);
+    cluster_begin(&cluster);
+    running = run_job(&cluster, 0, &most_workers);
+    add_job(&cluster, 1, &two);
+    CU_ASSERT_EQUAL(check_after(&cluster, 2900).waiting, 0);
+    owner_idle_end(cluster.owner, running);
+    CU_ASSERT_EQUAL(check_after(&cluster, 600).waiting, 1);
     /* Three workers are free: one gang of two fits, not two. */
-    add_job(&site, 1, &gang);
-    site.clock.now = cw_time_add_ms(site.clock.now, 3500);
-    owner_idle_end(site.owner, running);
-    CU_ASSERT_EQUAL(check_after(&site, 500).waiting, 1);
-    site_end(&site);
+    add_job(&cluster, 1, &gang);
+    cluster.clock.now = cw_time_add_ms(cluster.clock.now, 3500);
+    owner_idle_end(cluster.owner, running);
+    CU_ASSERT_EQUAL(check_after(&cluster, 500).waiting, 1);
+    cluster_end(&cluster);
 }
 
 /* Guards against counting time in which a job waited for free capacity as time
@@ -153,21 +153,21 @@
 {
     static const struct cw_step_spec most_workers = {
         .tasks = 11, .accelerators = ACCELERATORS};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *running;
     struct owner_job *job;
 
-    site_begin(&site);
-    running = run_job(&site, 0, &most_workers);
-    job = add_job(&site, 1, &all_workers);
-    check_after(&site, 3500);
+    cluster_begin(&cluster);
+    running = run_job(&cluster, 0, &most_workers);
+    job = add_job(&cluster, 1, &all_workers);
+    check_after(&cluster, 3500);
     CU_ASSERT_EQUAL(job->idle.clock.free_since.tv_sec, 0);
-    owner_run_drop(site.owner, step_of(running)->tasks[0].run);
-    check_after(&site, 500);
-    check_after(&site, 1000);
+    owner_run_drop(cluster.owner, step_of(running)->tasks[0].run);
+    check_after(&cluster, 500);
+    check_after(&cluster, 1000);
     CU_ASSERT_EQUAL(
-        cw_time_diff_ms(job->idle.clock.free_since, site.clock.now), 1000);
-    site_end(&site);
+        cw_time_diff_ms(job->idle.clock.free_since, cluster.clock.now), 1000);
+    cluster_end(&cluster);
 }
 
 /* Each endless task counts separately, from 6 s after its last run. */
@@ -176,35 +176,35 @@
 {
     static const struct cw_step_spec endless_tasks = {
         .tasks = 2, .accelerators = 4, .endless = true};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    job = run_job(&site, 1, &endless_tasks);
-    owner_run_drop(site.owner, step_of(job)->tasks[0].run);
-    site.clock.now = cw_time_add_ms(site.clock.now, 5000);
-    owner_idle_end(site.owner, job); /* the other one is listed */
-    CU_ASSERT_EQUAL(check_after(&site, 900).waiting, 0);
-    CU_ASSERT_EQUAL(check_after(&site, 600).waiting, 1);
-    site_end(&site);
+    cluster_begin(&cluster);
+    job = run_job(&cluster, 1, &endless_tasks);
+    owner_run_drop(cluster.owner, step_of(job)->tasks[0].run);
+    cluster.clock.now = cw_time_add_ms(cluster.clock.now, 5000);
+    owner_idle_end(cluster.owner, job); /* the other one is listed */
+    CU_ASSERT_EQUAL(check_after(&cluster, 900).waiting, 0);
+    CU_ASSERT_EQUAL(check_after(&cluster, 600).waiting, 1);
+    cluster_end(&cluster);
 }
 
 static void
 test_a_task_that_loses_its_runs_is_reported(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    job = add_job(&site, 1, &two);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 1, &two);
     for (unsigned i = 0; i < 3; i++) {
-        CU_ASSERT_EQUAL(check_after(&site, 500).repeating, 0);
-        pass(&site, 10);
-        owner_run_lost(site.owner, step_of(job)->tasks[0].run, true,
+        CU_ASSERT_EQUAL(check_after(&cluster, 500).repeating, 0);
+        pass(&cluster, 10);
+        owner_run_lost(cluster.owner, step_of(job)->tasks[0].run, true,
                        "not_listed");
     }
-    CU_ASSERT_EQUAL(check_after(&site, 500).repeating, 1);
-    site_end(&site);
+    CU_ASSERT_EQUAL(check_after(&cluster, 500).repeating, 1);
+    cluster_end(&cluster);
 }
 
 /* Guards against false reports by a VM that was frozen or cut off from the
@@ -213,16 +213,16 @@
 static void
 test_an_unconfirmed_owner_reports_no_idle_jobs(void)
 {
-    struct site site;
-
-    site_begin(&site);
-    (void)add_job(&site, 1, &two);
-    CU_ASSERT_EQUAL(check_after(&site, 3500).waiting, 1);
-    site.clock.now = cw_time_add_ms(site.clock.now, 8000);
-    owner_idle_tick(site.owner, site.clock.now);
-    CU_ASSERT_EQUAL(site.owner->idle_stats.jobs, 0);
-    CU_ASSERT_EQUAL(check_after(&site, 600).waiting, 1);
-    site_end(&site);
+    struct cluster cluster;
+
+    cluster_begin(&cluster);
+    (void)add_job(&cluster, 1, &two);
+    CU_ASSERT_EQUAL(check_after(&cluster, 3500).waiting, 1);
+    cluster.clock.now = cw_time_add_ms(cluster.clock.now, 8000);
+    owner_idle_tick(cluster.owner, cluster.clock.now);
+    CU_ASSERT_EQUAL(cluster.owner->idle_stats.jobs, 0);
+    CU_ASSERT_EQUAL(check_after(&cluster, 600).waiting, 1);
+    cluster_end(&cluster);
 }
 
 static const struct test tests[] = {
--- a/tests/test_late_ends.c
+++ b/tests/test_late_ends.c
@@ -2,22 +2,22 @@
  * late. */
 #include "test_main.h"
 
-#include "owner_site.h"
+#include "owner_cluster.h"
 
 /* Begins a job of one task whose first run was given up and whose second is
  * placed.
  */
 static struct owner_job *
-give_up(struct site *site, struct owner_target **first)
+give_up(struct cluster *cluster, struct owner_target **first)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 8};
-    struct owner_job *job = run_job(site, 1, &one);
+    struct owner_job *job = run_job(cluster, 1, &one);
 
     *first = step_of(job)->tasks[0].run->target;
     (*first)->incarnation.suspect_until =
-        cw_time_add_ms(site->clock.now, 60000);
-    owner_run_lost(site->owner, step_of(job)->tasks[0].run, true, "test");
-    pass(site, 10);
+        cw_time_add_ms(cluster->clock.now, 60000);
+    owner_run_lost(cluster->owner, step_of(job)->tasks[0].run, true, "test");
+    pass(cluster, 10);
     return job;
 }
 
@@ -36,58 +36,58 @@
 static void
 test_late_result_is_accepted(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_target *first;
     struct owner_job *job;
     struct cw_ended ended;
 
-    site_begin(&site);
-    job = give_up(&site, &first);
+    cluster_begin(&cluster);
+    job = give_up(&cluster, &first);
     CU_ASSERT_EQUAL(placed(job), 1);
     ended = end_of(job, 1, CW_END_KIND_DONE);
-    owner_run_ended(site.owner, first, &ended);
+    owner_run_ended(cluster.owner, first, &ended);
     CU_ASSERT_EQUAL(job->phase, CW_WORK_COMPLETED);
     CU_ASSERT_EQUAL(placed(job), 0); /* its second run was not sent yet */
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
 test_run_started_since_is_stopped(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_target *first;
     struct owner_job *job;
     struct cw_ended ended;
 
-    site_begin(&site);
-    job = give_up(&site, &first);
-    set_running(&site, job);
+    cluster_begin(&cluster);
+    job = give_up(&cluster, &first);
+    set_running(&cluster, job);
     ended = end_of(job, 1, CW_END_KIND_DONE);
-    owner_run_ended(site.owner, first, &ended);
+    owner_run_ended(cluster.owner, first, &ended);
     CU_ASSERT_EQUAL(job->phase, CW_WORK_COMPLETED);
     CU_ASSERT_TRUE(step_of(job)->tasks[0].run->stopping);
     ended = end_of(job, 2, CW_END_KIND_FAILED);
-    owner_run_ended(site.owner, step_of(job)->tasks[0].run->target, &ended);
+    owner_run_ended(cluster.owner, step_of(job)->tasks[0].run->target, &ended);
     CU_ASSERT_EQUAL(job->phase, CW_WORK_COMPLETED);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
 test_late_failure_changes_nothing(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_target *first;
     struct owner_job *job;
     struct cw_ended ended;
 
-    site_begin(&site);
-    job = give_up(&site, &first);
-    set_running(&site, job);
+    cluster_begin(&cluster);
+    job = give_up(&cluster, &first);
+    set_running(&cluster, job);
     ended = end_of(job, 1, CW_END_KIND_FAILED);
-    owner_run_ended(site.owner, first, &ended);
+    owner_run_ended(cluster.owner, first, &ended);
     CU_ASSERT_EQUAL(step_of(job)->tasks[0].failures, 0);
     CU_ASSERT_EQUAL(placed(job), 1);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* An extended lease could hide that it had expired. */
@@ -95,31 +95,31 @@
 test_first_poll_extends_no_lease_and_precedes_placement(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 8};
-    struct site site;
+    struct cluster cluster;
     struct owner_target *target = NULL;
     GHashTableIter iterator;
     gpointer value;
     struct owner_job *job;
 
-    site_begin(&site);
-    g_hash_table_iter_init(&iterator, site.owner->targets);
+    cluster_begin(&cluster);
+    g_hash_table_iter_init(&iterator, cluster.owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         target = value;
         target->answered = false;
     }
     CU_ASSERT_PTR_NOT_NULL_FATAL(target);
-    job = add_job(&site, 0, &one);
-    pass(&site, 10);
+    job = add_job(&cluster, 0, &one);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(placed(job), 0);
-    site.owner->ownership_confirmed_at = site.clock.now;
-    owner_poll_tick(site.owner, target, site.clock.now);
+    cluster.owner->ownership_confirmed_at = cluster.clock.now;
+    owner_poll_tick(cluster.owner, target, cluster.clock.now);
     CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_POLL);
     CU_ASSERT_EQUAL(last_order.lease_until_ms, 0);
     answer_last(CW_TARGET_OK);
-    pass(&site, 10);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(placed(job), 1);
     CU_ASSERT_PTR_EQUAL(worker_of(job, 0), target);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* This VM could not extend the lease in time, but the worker can still report
@@ -128,38 +128,38 @@
 test_responsive_worker_is_polled_before_runs_are_given_up(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 8};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_target *target;
 
-    site_begin(&site);
-    job = run_job(&site, 1, &one);
+    cluster_begin(&cluster);
+    job = run_job(&cluster, 1, &one);
     target = step_of(job)->tasks[0].run->target;
-    target->lease_end = cw_time_add_ms(site.clock.now, 1000);
-    target->answered_poll_sent_at = site.clock.now;
-    site.clock.now = cw_time_add_ms(site.clock.now, 2000);
-    site.owner->ownership_confirmed_at = site.clock.now;
-    owner_poll_tick(site.owner, target, site.clock.now);
+    target->lease_end = cw_time_add_ms(cluster.clock.now, 1000);
+    target->answered_poll_sent_at = cluster.clock.now;
+    cluster.clock.now = cw_time_add_ms(cluster.clock.now, 2000);
+    cluster.owner->ownership_confirmed_at = cluster.clock.now;
+    owner_poll_tick(cluster.owner, target, cluster.clock.now);
     CU_ASSERT_EQUAL(placed(job), 1);
     CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_POLL);
     CU_ASSERT_EQUAL(last_order.lease_until_ms, 0);
     answer_last(CW_TARGET_UNREACHABLE);
-    owner_poll_tick(site.owner, target, site.clock.now);
+    owner_poll_tick(cluster.owner, target, cluster.clock.now);
     CU_ASSERT_EQUAL(placed(job), 0);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Sends a poll and answers it with empty lists; returns the end of the lease
  * that it granted. */
 static int64_t
-poll_and_answer(struct site *site, struct owner_target *target)
+poll_and_answer(struct cluster *cluster, struct owner_target *target)
 {
     int64_t until_ms;
 
-    site->clock.now = cw_time_add_ms(site->clock.now, 1000);
-    site->owner->ownership_confirmed_at = site->clock.now;
-    target->poll_due = site->clock.now;
-    owner_poll_tick(site->owner, target, site->clock.now);
+    cluster->clock.now = cw_time_add_ms(cluster->clock.now, 1000);
+    cluster->owner->ownership_confirmed_at = cluster->clock.now;
+    target->poll_due = cluster->clock.now;
+    owner_poll_tick(cluster->owner, target, cluster->clock.now);
     CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_POLL);
     until_ms = last_order.lease_until_ms;
     answer_last(CW_TARGET_OK);
@@ -168,9 +168,9 @@
 
 /* Returns a time when no worker is avoided any more. */
 static struct timespec
-later(const struct site *site)
+later(const struct cluster *cluster)
 {
-    return cw_time_add_ms(site->clock.now, 5000);
+    return cw_time_add_ms(cluster->clock.now, 5000);
 }
 
 /* Guards against a start that is delayed by a cut link and carried out when
@@ -182,47 +182,48 @@
 test_late_start_is_stopped_before_lease_is_extended(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 8};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_target *target;
     struct owner_run *run;
     struct cw_task_name name;
 
-    site_begin(&site);
-    job = add_job(&site, 1, &one);
-    pass(&site, 10);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 1, &one);
+    pass(&cluster, 10);
     run = step_of(job)->tasks[0].run;
     target = run->target;
     run->phase = RUN_READY;
     name = owner_task_name(run->task);
-    site.owner->ownership_confirmed_at = site.clock.now;
-    owner_order_queue(site.owner, target, CW_ORDER_START, &name, run->number);
-    owner_orders_send(site.owner, target, site.clock.now);
+    cluster.owner->ownership_confirmed_at = cluster.clock.now;
+    owner_order_queue(cluster.owner, target, CW_ORDER_START, &name,
+                      run->number);
+    owner_orders_send(cluster.owner, target, cluster.clock.now);
     answer_last(CW_TARGET_UNKNOWN);
     target->unanswered_polls = 1;
-    site.clock.now = cw_time_add_ms(target->lease_end, 1);
-    owner_poll_tick(site.owner, target, site.clock.now);
+    cluster.clock.now = cw_time_add_ms(target->lease_end, 1);
+    owner_poll_tick(cluster.owner, target, cluster.clock.now);
     CU_ASSERT_EQUAL(placed(job), 0);
     answer_remaining();
     unanswered = g_array_new(FALSE, FALSE, sizeof(struct cw_target_order));
-    CU_ASSERT_EQUAL(poll_and_answer(&site, target), 0); /* the first poll */
+    CU_ASSERT_EQUAL(poll_and_answer(&cluster, target), 0); /* the first poll */
     for (unsigned tries = 0; tries < 2; tries++) {
         int64_t before_ms = target->incarnation.lease_sent_ms;
 
-        CU_ASSERT_FALSE(owner_target_reachable(target, later(&site)));
+        CU_ASSERT_FALSE(owner_target_reachable(target, later(&cluster)));
         CU_ASSERT_EQUAL(
-            owner_lease_grant(target, CW_ORDER_POLL, site.clock.now),
+            owner_lease_grant(target, CW_ORDER_POLL, cluster.clock.now),
             before_ms);
-        site.clock.now = cw_time_add_ms(site.clock.now, 300);
-        site.owner->ownership_confirmed_at = site.clock.now;
-        owner_orders_send(site.owner, target, site.clock.now);
+        cluster.clock.now = cw_time_add_ms(cluster.clock.now, 300);
+        cluster.owner->ownership_confirmed_at = cluster.clock.now;
+        owner_orders_send(cluster.owner, target, cluster.clock.now);
         CU_ASSERT_EQUAL_FATAL(last_order.kind, CW_ORDER_STOP);
         CU_ASSERT_EQUAL(last_order.run, 1);
         last_order.kind = CW_ORDER_POLL;
         answer_last(tries == 0 ? CW_TARGET_UNKNOWN : CW_TARGET_OK);
     }
-    CU_ASSERT_TRUE(owner_target_reachable(target, later(&site)));
-    site_end(&site);
+    CU_ASSERT_TRUE(owner_target_reachable(target, later(&cluster)));
+    cluster_end(&cluster);
 }
 
 static const struct test tests[] = {
--- a/tests/test_lease_notes.c
+++ b/tests/test_lease_notes.c
@@ -450,40 +450,40 @@
 test_starts_wait_until_note_is_dropped(void)
 {
     const struct cw_step_spec step = {.tasks = 1, .accelerators = 1};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_run *placed_run;
     struct owner_target *target;
     struct cw_task_name name;
 
-    site_begin(&site);
-    site.owner->ownership_confirmed_at = site.clock.now;
-    job = add_job(&site, 0, &step);
-    pass(&site, 10);
+    cluster_begin(&cluster);
+    cluster.owner->ownership_confirmed_at = cluster.clock.now;
+    job = add_job(&cluster, 0, &step);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL_FATAL(placed(job), 1);
     placed_run = step_of(job)->tasks[0].run;
     target = placed_run->target;
     name = owner_task_name(placed_run->task);
     placed_run->phase = RUN_READY;
-    owner_order_queue(site.owner, target, CW_ORDER_START, &name,
+    owner_order_queue(cluster.owner, target, CW_ORDER_START, &name,
                       placed_run->number);
     for (unsigned lease_note = OWNER_LEASE_NOTE_WRITTEN;
          lease_note <= OWNER_LEASE_NOTE_DROPPED; lease_note++)
     {
         target->lease_note = lease_note;
-        owner_orders_send(site.owner, target, site.clock.now);
+        owner_orders_send(cluster.owner, target, cluster.clock.now);
         CU_ASSERT_EQUAL(placed_run->phase, RUN_READY);
         CU_ASSERT_EQUAL(target->orders_in_flight, 0);
         CU_ASSERT_EQUAL(
-            owner_lease_grant(target, CW_ORDER_START, site.clock.now), 0);
-        CU_ASSERT_FALSE(owner_target_reachable(target, site.clock.now));
+            owner_lease_grant(target, CW_ORDER_START, cluster.clock.now), 0);
+        CU_ASSERT_FALSE(owner_target_reachable(target, cluster.clock.now));
     }
     target->lease_note = OWNER_LEASE_NOTE_NONE;
-    owner_orders_send(site.owner, target, site.clock.now);
+    owner_orders_send(cluster.owner, target, cluster.clock.now);
     CU_ASSERT_EQUAL(placed_run->phase, RUN_STARTING);
     CU_ASSERT_EQUAL(target->orders_in_flight, 1);
     CU_ASSERT_TRUE(last_order.lease_until_ms > 0);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static const struct test tests[] = {
--- a/tests/test_leases.c
+++ b/tests/test_leases.c
@@ -118,14 +118,14 @@
 {
     const struct cw_step_spec gang = {
         .tasks = 3, .accelerators = ACCELERATORS, .gang = true};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_target *target;
 
-    site_begin(&site);
-    site.owner->ownership_confirmed_at = site.clock.now;
-    job = add_job(&site, 1, &gang);
-    pass(&site, 10);
+    cluster_begin(&cluster);
+    cluster.owner->ownership_confirmed_at = cluster.clock.now;
+    job = add_job(&cluster, 1, &gang);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL_FATAL(placed(job), 3);
     target = step_of(job)->tasks[1].run->target;
     step_of(job)->tasks[1].run->phase = RUN_RESERVED;
@@ -134,9 +134,9 @@
     for (unsigned passed = 0; passed < UNRESPONSIVE_MS; passed += STEP_MS) {
         const struct cw_target_answer none = {.status = CW_TARGET_UNKNOWN};
 
-        site.clock.now = cw_time_add_ms(site.clock.now, STEP_MS);
-        site.owner->ownership_confirmed_at = site.clock.now;
-        (void)owner_poll_tick(site.owner, target, site.clock.now);
+        cluster.clock.now = cw_time_add_ms(cluster.clock.now, STEP_MS);
+        cluster.owner->ownership_confirmed_at = cluster.clock.now;
+        (void)owner_poll_tick(cluster.owner, target, cluster.clock.now);
         while (unanswered != NULL && unanswered->len > 0) {
             struct cw_target_order order =
                 g_array_index(unanswered, struct cw_target_order, 0);
@@ -147,19 +147,19 @@
     }
     CU_ASSERT_TRUE(target->unanswered_polls > 1);
     CU_ASSERT_EQUAL(placed(job), 0);
-    pass(&site, 10);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(placed(job), 3);
     for (unsigned i = 0; i < 3 && placed(job) == 3; i++) {
         CU_ASSERT_PTR_NOT_EQUAL(step_of(job)->tasks[i].run->target, target);
     }
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Sends the start of the job's only task. */
 static struct owner_target *
-send_start(struct site *site, struct owner_job *job)
+send_start(struct cluster *cluster, struct owner_job *job)
 {
-    const struct owner_run *run = send_job_start(site, job);
+    const struct owner_run *run = send_job_start(cluster, job);
 
     CU_ASSERT_EQUAL(run->phase, RUN_STARTING);
     return run->target;
@@ -171,25 +171,25 @@
 test_starts_do_not_extend_renewed_lease(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 4};
-    struct site site;
+    struct cluster cluster;
     struct owner_target *target;
     struct owner_job *second;
     struct timespec end;
 
-    site_begin(&site);
-    site.owner->ownership_confirmed_at = site.clock.now;
-    target = step_of(run_job(&site, 0, &one))->tasks[0].run->target;
-    (void)owner_poll_tick(site.owner, target, site.clock.now);
+    cluster_begin(&cluster);
+    cluster.owner->ownership_confirmed_at = cluster.clock.now;
+    target = step_of(run_job(&cluster, 0, &one))->tasks[0].run->target;
+    (void)owner_poll_tick(cluster.owner, target, cluster.clock.now);
     CU_ASSERT_EQUAL_FATAL(last_order.kind, CW_ORDER_POLL);
     end = target->lease_end;
-    CU_ASSERT_TRUE(cw_time_diff_ms(site.clock.now, end) >
-                   owner_lease_max_granted_ms(site.owner));
-    second = add_job(&site, 0, &one);
-    pass(&site, 1500);
+    CU_ASSERT_TRUE(cw_time_diff_ms(cluster.clock.now, end) >
+                   owner_lease_max_granted_ms(cluster.owner));
+    second = add_job(&cluster, 0, &one);
+    pass(&cluster, 1500);
     CU_ASSERT_PTR_EQUAL_FATAL(worker_of(second, 0), target);
-    CU_ASSERT_PTR_EQUAL(send_start(&site, second), target);
+    CU_ASSERT_PTR_EQUAL(send_start(&cluster, second), target);
     CU_ASSERT_EQUAL(cw_time_diff_ms(end, target->lease_end), 0);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Guards against a lease that grows with each retry of an unanswered start. */
@@ -197,27 +197,27 @@
 test_resent_start_grants_no_longer_lease(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 4};
-    struct site site;
+    struct cluster cluster;
     struct owner_target *target;
     struct owner_job *job;
     struct timespec end;
     int64_t until_ms;
 
-    site_begin(&site);
-    job = add_job(&site, 0, &one);
-    pass(&site, 10);
-    target = send_start(&site, job);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 0, &one);
+    pass(&cluster, 10);
+    target = send_start(&cluster, job);
     end = target->lease_end;
     until_ms = last_order.lease_until_ms;
     answer_last(CW_TARGET_UNKNOWN);
-    site.clock.now = cw_time_add_ms(site.clock.now, 900);
-    site.owner->ownership_confirmed_at = site.clock.now;
-    owner_orders_send(site.owner, target, site.clock.now);
+    cluster.clock.now = cw_time_add_ms(cluster.clock.now, 900);
+    cluster.owner->ownership_confirmed_at = cluster.clock.now;
+    owner_orders_send(cluster.owner, target, cluster.clock.now);
     CU_ASSERT_EQUAL_FATAL(last_order.kind, CW_ORDER_START);
     CU_ASSERT_EQUAL(step_of(job)->tasks[0].run->unanswered, 1);
     CU_ASSERT_EQUAL(last_order.lease_until_ms, until_ms);
     CU_ASSERT_EQUAL(cw_time_diff_ms(end, target->lease_end), 0);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Guards against gangs that wait for a full lease for a worker that failed
@@ -226,21 +226,21 @@
 test_unconfirmed_start_grants_short_lease(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 4};
-    struct site site;
+    struct cluster cluster;
     struct owner_target *target;
     struct owner_job *job;
 
-    site_begin(&site);
-    job = add_job(&site, 0, &one);
-    pass(&site, 10);
-    target = send_start(&site, job);
-    CU_ASSERT_TRUE(cw_time_diff_ms(site.clock.now, target->lease_end) <=
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 0, &one);
+    pass(&cluster, 10);
+    target = send_start(&cluster, job);
+    CU_ASSERT_TRUE(cw_time_diff_ms(cluster.clock.now, target->lease_end) <=
                    UNCONFIRMED_MAX_MS);
-    (void)owner_poll_tick(site.owner, target, site.clock.now);
+    (void)owner_poll_tick(cluster.owner, target, cluster.clock.now);
     CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_POLL);
-    CU_ASSERT_TRUE(cw_time_diff_ms(site.clock.now, target->lease_end) <=
+    CU_ASSERT_TRUE(cw_time_diff_ms(cluster.clock.now, target->lease_end) <=
                    UNCONFIRMED_MAX_MS);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Guards against lost work that waits for the next periodic check after its
@@ -249,19 +249,19 @@
 test_end_of_lease_is_processed_at_once(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 4};
-    struct site site;
+    struct cluster cluster;
     struct owner_target *target;
     struct timespec next;
 
-    site_begin(&site);
-    site.owner->ownership_confirmed_at = site.clock.now;
-    target = step_of(run_job(&site, 0, &one))->tasks[0].run->target;
-    (void)owner_poll_tick(site.owner, target, site.clock.now);
+    cluster_begin(&cluster);
+    cluster.owner->ownership_confirmed_at = cluster.clock.now;
+    target = step_of(run_job(&cluster, 0, &one))->tasks[0].run->target;
+    (void)owner_poll_tick(cluster.owner, target, cluster.clock.now);
     CU_ASSERT_TRUE(target->poll_in_flight);
-    next = owner_poll_tick(site.owner, target, site.clock.now);
+    next = owner_poll_tick(cluster.owner, target, cluster.clock.now);
     CU_ASSERT_TRUE(cw_time_diff_ms(target->lease_end, next) >= 0);
     CU_ASSERT_TRUE(cw_time_diff_ms(target->lease_end, next) <= 1);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Guards against a task that runs twice: a worker has crashed and started
@@ -271,18 +271,18 @@
 test_start_may_reach_next_incarnation(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 4};
-    struct site site;
+    struct cluster cluster;
     struct owner_target *target;
     struct owner_job *job;
 
-    site_begin(&site);
-    job = add_job(&site, 0, &one);
-    pass(&site, 10);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 0, &one);
+    pass(&cluster, 10);
     step_of(job)->tasks[0].run->target->incarnation.boot_ms = 1;
-    target = send_start(&site, job);
-    CU_ASSERT_TRUE(cw_time_diff_ms(site.clock.now, target->lease_end) >=
+    target = send_start(&cluster, job);
+    CU_ASSERT_TRUE(cw_time_diff_ms(cluster.clock.now, target->lease_end) >=
                    LEASE_MS + LEASE_MS / 50);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static const struct test tests[] = {
--- a/tests/test_moves.c
+++ b/tests/test_moves.c
@@ -1,7 +1,7 @@
 /* Runs that the owner evicts from slow workers. */
 #include "test_main.h"
 
-#include "owner_site.h"
+#include "owner_cluster.h"
 
 enum { SLOW_PERCENT = 31, WINDOW_MS = 1000, MEMBERS = 9 };
 
@@ -14,14 +14,14 @@
 /* Makes the run slow: one percent in the last second, after twenty percent per
  * second before. */
 static void
-make_slow(struct site *site, struct owner_run *run)
+make_slow(struct cluster *cluster, struct owner_run *run)
 {
     run->percent = SLOW_PERCENT - 1;
     run->best_rate = 20;
     run->window_percent = SLOW_PERCENT - 1;
-    run->window_at = site->clock.now;
-    site->clock.now = cw_time_add_ms(site->clock.now, WINDOW_MS);
-    owner_speed_observe(site->owner, run, SLOW_PERCENT, site->clock.now);
+    run->window_at = cluster->clock.now;
+    cluster->clock.now = cw_time_add_ms(cluster->clock.now, WINDOW_MS);
+    owner_speed_observe(cluster->owner, run, SLOW_PERCENT, cluster->clock.now);
 }
 
 static unsigned
@@ -42,31 +42,31 @@
 static void
 test_a_gang_without_capacity_elsewhere_is_not_stopped(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    job = run_job(&site, 1, &gang);
-    run_job(&site, 0, &rest);
-    make_slow(&site, step_of(job)->tasks[0].run);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    job = run_job(&cluster, 1, &gang);
+    run_job(&cluster, 0, &rest);
+    make_slow(&cluster, step_of(job)->tasks[0].run);
     CU_ASSERT_EQUAL(stopping(job), 0);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Guards against work that stays on a slow worker while others are free. */
 static void
 test_a_gang_with_capacity_elsewhere_is_moved(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    job = run_job(&site, 1, &gang);
-    make_slow(&site, step_of(job)->tasks[0].run);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    job = run_job(&cluster, 1, &gang);
+    make_slow(&cluster, step_of(job)->tasks[0].run);
     CU_ASSERT_EQUAL(stopping(job), MEMBERS);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Guards against gangs that are stopped for capacity that they may not use, as
@@ -74,21 +74,21 @@
 static void
 test_a_gang_is_not_stopped_for_headroom(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_headroom *headroom;
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    job = run_job(&site, 1, &gang);
-    set_guarantee(&site, RACKS * PER_RACK * ACCELERATORS);
-    headroom = g_hash_table_lookup(site.owner->headroom, "s");
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    job = run_job(&cluster, 1, &gang);
+    set_guarantee(&cluster, RACKS * PER_RACK * ACCELERATORS);
+    headroom = g_hash_table_lookup(cluster.owner->headroom, "s");
     cw_headroom_observe(&headroom->forecast, RACKS * PER_RACK * ACCELERATORS,
-                        site.clock.now);
-    pass(&site, 10);
-    make_slow(&site, step_of(job)->tasks[0].run);
+                        cluster.clock.now);
+    pass(&cluster, 10);
+    make_slow(&cluster, step_of(job)->tasks[0].run);
     CU_ASSERT_EQUAL(stopping(job), 0);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* A single task is moved only if it fits on another worker. */
@@ -99,20 +99,20 @@
                                             .accelerators = ACCELERATORS};
     static const struct cw_step_spec others = {.tasks = RACKS * PER_RACK - 1,
                                                .accelerators = ACCELERATORS};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_job *urgent;
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    job = run_job(&site, 1, &one);
-    urgent = run_job(&site, 0, &others);
-    make_slow(&site, step_of(job)->tasks[0].run);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    job = run_job(&cluster, 1, &one);
+    urgent = run_job(&cluster, 0, &others);
+    make_slow(&cluster, step_of(job)->tasks[0].run);
     CU_ASSERT_EQUAL(stopping(job), 0);
-    owner_run_drop(site.owner, step_of(urgent)->tasks[0].run);
-    make_slow(&site, step_of(job)->tasks[0].run);
+    owner_run_drop(cluster.owner, step_of(urgent)->tasks[0].run);
+    make_slow(&cluster, step_of(job)->tasks[0].run);
     CU_ASSERT_EQUAL(stopping(job), 1);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Guards against a gang that needs one rack and is stopped for free capacity
@@ -127,26 +127,26 @@
     static const struct cw_step_spec each = {
         .tasks = 5, .accelerators = 1, .most_per_worker = 1};
     static const char *const workers[] = {"w03", "w04", "w05", "w08", "w09"};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_job *small;
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    job = run_job(&site, 1, &in_rack);
-    small = add_job(&site, 1, &each);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    job = run_job(&cluster, 1, &in_rack);
+    small = add_job(&cluster, 1, &each);
     for (unsigned i = 0; i < G_N_ELEMENTS(workers); i++) {
-        owner_run_create(site.owner, &step_of(small)->tasks[i],
-                         owner_target_get(site.owner, workers[i]), RUN_RUNNING,
-                         1);
+        owner_run_create(cluster.owner, &step_of(small)->tasks[i],
+                         owner_target_get(cluster.owner, workers[i]),
+                         RUN_RUNNING, 1);
     }
     CU_ASSERT_STRING_EQUAL(worker_of(job, 0)->rack, "r0");
-    make_slow(&site, step_of(job)->tasks[0].run);
+    make_slow(&cluster, step_of(job)->tasks[0].run);
     CU_ASSERT_EQUAL(stopping(job), 0);
-    owner_run_drop(site.owner, step_of(small)->tasks[0].run);
-    make_slow(&site, step_of(job)->tasks[0].run);
+    owner_run_drop(cluster.owner, step_of(small)->tasks[0].run);
+    make_slow(&cluster, step_of(job)->tasks[0].run);
     CU_ASSERT_EQUAL(stopping(job), PER_RACK - 1);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static const struct test tests[] = {
--- a/tests/test_order_window.c
+++ b/tests/test_order_window.c
@@ -7,7 +7,7 @@
  * overloaded. */
 #include "test_main.h"
 
-#include "owner_site.h"
+#include "owner_cluster.h"
 
 enum { ANSWERS = 400, ADJUSTMENTS = 50 };
 
@@ -81,44 +81,44 @@
 static void
 test_placement_waits_for_orders_in_flight(void)
 {
-    struct site site;
+    struct cluster cluster;
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 1};
     struct owner_job *job;
 
-    site_begin(&site);
-    job = add_job(&site, 1, &one);
-    site.owner->order_window.outstanding =
-        site.owner->order_window.max_outstanding;
-    pass(&site, 10);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 1, &one);
+    cluster.owner->order_window.outstanding =
+        cluster.owner->order_window.max_outstanding;
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(placed(job), 0);
-    site.owner->order_window.outstanding = 0;
-    pass(&site, 10);
+    cluster.owner->order_window.outstanding = 0;
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(placed(job), 1);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* An order counts from when it is queued until it is answered or dropped. */
 static void
 test_orders_count_until_answered(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_target *target;
     const struct cw_task_name task = {.job = "x"};
 
-    site_begin(&site);
-    target = owner_target_get(site.owner, "w00");
-    site.owner->ownership_confirmed_at = site.clock.now;
+    cluster_begin(&cluster);
+    target = owner_target_get(cluster.owner, "w00");
+    cluster.owner->ownership_confirmed_at = cluster.clock.now;
     for (unsigned i = 0; i < 3; i++) {
-        owner_order_queue(site.owner, target, CW_ORDER_STOP, &task, i + 1);
+        owner_order_queue(cluster.owner, target, CW_ORDER_STOP, &task, i + 1);
     }
-    CU_ASSERT_EQUAL(site.owner->order_window.outstanding, 3);
-    owner_orders_send(site.owner, target, site.clock.now);
+    CU_ASSERT_EQUAL(cluster.owner->order_window.outstanding, 3);
+    owner_orders_send(cluster.owner, target, cluster.clock.now);
     answer_last(CW_TARGET_OK);
-    CU_ASSERT_EQUAL(site.owner->order_window.outstanding, 2);
-    owner_target_lost(site.owner, target, "test");
-    CU_ASSERT_EQUAL(site.owner->order_window.outstanding,
+    CU_ASSERT_EQUAL(cluster.owner->order_window.outstanding, 2);
+    owner_target_lost(cluster.owner, target, "test");
+    CU_ASSERT_EQUAL(cluster.owner->order_window.outstanding,
                     1); /* one is in flight */
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static const struct test tests[] = {
--- a/tests/test_orders.c
+++ b/tests/test_orders.c
@@ -2,17 +2,17 @@
  * retries and limits. */
 #include "test_main.h"
 
-#include "owner_site.h"
+#include "owner_cluster.h"
 
 /* Begins a job of one task and sends its start. */
 static struct owner_job *
-start_job(struct site *site)
+start_job(struct cluster *cluster)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 8};
-    struct owner_job *job = add_job(site, 1, &one);
+    struct owner_job *job = add_job(cluster, 1, &one);
 
-    pass(site, 10);
-    (void)send_job_start(site, job);
+    pass(cluster, 10);
+    (void)send_job_start(cluster, job);
     CU_ASSERT_EQUAL(last_order.kind, CW_ORDER_START);
     return job;
 }
@@ -21,60 +21,61 @@
 static void
 test_unsent_start_frees_task_at_once(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     const struct owner_target *first;
 
-    site_begin(&site);
-    job = start_job(&site);
+    cluster_begin(&cluster);
+    job = start_job(&cluster);
     first = worker_of(job, 0);
     answer_last(CW_TARGET_UNREACHABLE);
     CU_ASSERT_EQUAL(placed(job), 0);
     CU_ASSERT_EQUAL(step_of(job)->tasks[0].failures, 0);
-    pass(&site, 10);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(placed(job), 1);
     CU_ASSERT_PTR_NOT_EQUAL(worker_of(job, 0), first);
     CU_ASSERT_TRUE(step_of(job)->tasks[0].run->number > 1);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* The start may have been carried out, or may be later. */
 static void
 test_unanswered_start_keeps_placement(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     const struct owner_target *first;
 
-    site_begin(&site);
-    job = start_job(&site);
+    cluster_begin(&cluster);
+    job = start_job(&cluster);
     first = worker_of(job, 0);
     answer_last(CW_TARGET_UNKNOWN);
     CU_ASSERT_EQUAL(placed(job), 1);
-    pass(&site, 10);
+    pass(&cluster, 10);
     CU_ASSERT_PTR_EQUAL(worker_of(job, 0), first);
     /* The retry does not reach the worker either. */
-    site.clock.now = cw_time_add_ms(site.clock.now, 100);
-    site.owner->ownership_confirmed_at = site.clock.now;
-    owner_orders_send(site.owner, step_of(job)->tasks[0].run->target,
-                      site.clock.now);
+    cluster.clock.now = cw_time_add_ms(cluster.clock.now, 100);
+    cluster.owner->ownership_confirmed_at = cluster.clock.now;
+    owner_orders_send(cluster.owner, step_of(job)->tasks[0].run->target,
+                      cluster.clock.now);
     answer_last(CW_TARGET_UNREACHABLE);
     CU_ASSERT_EQUAL(placed(job), 1);
     CU_ASSERT_TRUE(step_of(job)->tasks[0].run->stopping);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Runs for `ms`, with stops that cannot be sent; returns their number. */
 static unsigned
-stops_sent_in(struct site *site, struct owner_target *target, unsigned ms)
+stops_sent_in(struct cluster *cluster, struct owner_target *target,
+              unsigned ms)
 {
     unsigned sent = 0;
 
     for (unsigned passed = 0; passed < ms; passed++) {
         last_order.kind = CW_ORDER_POLL;
-        site->clock.now = cw_time_add_ms(site->clock.now, 1);
-        site->owner->ownership_confirmed_at = site->clock.now;
-        (void)owner_orders_send(site->owner, target, site->clock.now);
+        cluster->clock.now = cw_time_add_ms(cluster->clock.now, 1);
+        cluster->owner->ownership_confirmed_at = cluster->clock.now;
+        (void)owner_orders_send(cluster->owner, target, cluster->clock.now);
         if (last_order.kind == CW_ORDER_STOP) {
             sent++;
             answer_last(CW_TARGET_UNREACHABLE);
@@ -89,17 +90,17 @@
 static void
 test_failing_stop_is_retried_at_intervals(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_run *run;
 
-    site_begin(&site);
-    job = start_job(&site);
+    cluster_begin(&cluster);
+    job = start_job(&cluster);
     answer_last(CW_TARGET_OK);
     run = step_of(job)->tasks[0].run;
-    owner_run_stop(site.owner, run);
-    CU_ASSERT_EQUAL(stops_sent_in(&site, run->target, 1500), 5);
-    site_end(&site);
+    owner_run_stop(cluster.owner, run);
+    CU_ASSERT_EQUAL(stops_sent_in(&cluster, run->target, 1500), 5);
+    cluster_end(&cluster);
 }
 
 /* Guards against an additional stop for each end of a gang member, as each end
@@ -110,21 +111,21 @@
 static void
 test_repeated_stop_keeps_retry_interval(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_run *run;
     unsigned sent = 0;
 
-    site_begin(&site);
-    job = start_job(&site);
+    cluster_begin(&cluster);
+    job = start_job(&cluster);
     answer_last(CW_TARGET_OK);
     run = step_of(job)->tasks[0].run;
     for (unsigned passed = 0; passed < 1500; passed += 10) {
-        owner_run_stop(site.owner, run);
-        sent += stops_sent_in(&site, run->target, 10);
+        owner_run_stop(cluster.owner, run);
+        sent += stops_sent_in(&cluster, run->target, 10);
     }
     CU_ASSERT_EQUAL(sent, 5);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* A start that was never sent does not wait behind one that may have been
@@ -133,14 +134,14 @@
 test_unsent_start_does_not_wait_behind_sent_one(void)
 {
     static const struct cw_step_spec half = {.tasks = 1, .accelerators = 4};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *jobs[2];
     struct owner_target *target;
 
-    site_begin(&site);
+    cluster_begin(&cluster);
     for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
-        jobs[i] = add_job(&site, 1, &half);
-        pass(&site, 10);
+        jobs[i] = add_job(&cluster, 1, &half);
+        pass(&cluster, 10);
     }
     target = step_of(jobs[0])->tasks[0].run->target;
     CU_ASSERT_PTR_EQUAL_FATAL(worker_of(jobs[1], 0), target);
@@ -149,19 +150,19 @@
         struct cw_task_name name = owner_task_name(run->task);
 
         run->phase = RUN_READY;
-        site.owner->ownership_confirmed_at = site.clock.now;
-        owner_order_queue(site.owner, target, CW_ORDER_START, &name,
+        cluster.owner->ownership_confirmed_at = cluster.clock.now;
+        owner_order_queue(cluster.owner, target, CW_ORDER_START, &name,
                           run->number);
         if (i == 0) {
-            owner_orders_send(site.owner, target, site.clock.now);
+            owner_orders_send(cluster.owner, target, cluster.clock.now);
             answer_last(CW_TARGET_UNKNOWN);
             target->unanswered_polls = 1; /* the poll was lost as well */
         }
     }
-    owner_orders_send(site.owner, target, site.clock.now);
+    owner_orders_send(cluster.owner, target, cluster.clock.now);
     CU_ASSERT_EQUAL(placed(jobs[0]), 1);
     CU_ASSERT_EQUAL(placed(jobs[1]), 0);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Guards against tasks of a cancelled job that run to their end.  If the job
@@ -171,23 +172,23 @@
 static void
 test_stop_waits_for_address_of_worker(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_run *run;
     char *address;
 
-    site_begin(&site);
-    job = start_job(&site);
+    cluster_begin(&cluster);
+    job = start_job(&cluster);
     answer_last(CW_TARGET_OK);
     run = step_of(job)->tasks[0].run;
     address = run->target->address;
     run->target->address = g_strdup("");
-    owner_run_stop(site.owner, run);
-    CU_ASSERT_EQUAL(stops_sent_in(&site, run->target, 100), 0);
+    owner_run_stop(cluster.owner, run);
+    CU_ASSERT_EQUAL(stops_sent_in(&cluster, run->target, 100), 0);
     g_free(run->target->address);
     run->target->address = address;
-    CU_ASSERT_TRUE(stops_sent_in(&site, run->target, 1000) > 0);
-    site_end(&site);
+    CU_ASSERT_TRUE(stops_sent_in(&cluster, run->target, 1000) > 0);
+    cluster_end(&cluster);
 }
 
 /* Other starts would be delayed on a worker with an unanswered start as well.
@@ -195,17 +196,17 @@
 static void
 test_worker_with_unanswered_start_is_avoided(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     const struct owner_target *first;
 
-    site_begin(&site);
-    job = start_job(&site);
+    cluster_begin(&cluster);
+    job = start_job(&cluster);
     first = worker_of(job, 0);
-    CU_ASSERT_TRUE(owner_target_usable(first, site.clock.now));
+    CU_ASSERT_TRUE(owner_target_usable(first, cluster.clock.now));
     answer_last(CW_TARGET_UNKNOWN);
-    CU_ASSERT_FALSE(owner_target_usable(first, site.clock.now));
-    site_end(&site);
+    CU_ASSERT_FALSE(owner_target_usable(first, cluster.clock.now));
+    cluster_end(&cluster);
 }
 
 /* Only one order per worker is in flight if two orders and a poll need more
@@ -213,32 +214,32 @@
 static void
 test_orders_in_flight_fit_connections(void)
 {
-    struct site site;
+    struct cluster cluster;
     const struct cw_step_spec three = {.tasks = 3, .accelerators = 2};
     struct owner_job *job;
     struct owner_target *target;
 
     for (unsigned connections_max = 2; connections_max <= 3; connections_max++)
     {
-        site_begin(&site);
-        site.owner->options.connections_max =
+        cluster_begin(&cluster);
+        cluster.owner->options.connections_max =
             connections_max * RACKS * PER_RACK;
-        job = add_job(&site, 1, &three);
-        pass(&site, 10);
+        job = add_job(&cluster, 1, &three);
+        pass(&cluster, 10);
         target = step_of(job)->tasks[0].run->target;
-        site.owner->ownership_confirmed_at = site.clock.now;
+        cluster.owner->ownership_confirmed_at = cluster.clock.now;
         for (unsigned i = 0; i < 3; i++) {
             struct owner_run *run = step_of(job)->tasks[i].run;
             struct cw_task_name name = owner_task_name(run->task);
 
             CU_ASSERT_PTR_EQUAL(run->target, target);
             run->phase = RUN_READY;
-            owner_order_queue(site.owner, target, CW_ORDER_START, &name,
+            owner_order_queue(cluster.owner, target, CW_ORDER_START, &name,
                               run->number);
         }
-        owner_orders_send(site.owner, target, site.clock.now);
+        owner_orders_send(cluster.owner, target, cluster.clock.now);
         CU_ASSERT_EQUAL(target->orders_in_flight, connections_max - 1);
-        site_end(&site);
+        cluster_end(&cluster);
     }
 }
 
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-#include "owner_site.h"
+#include "owner_cluster.h"
 
 static void
 test_a_gang_takes_one_rack_or_waits(void)
@@ -11,24 +11,25 @@
     const struct cw_step_spec gang = {
         .tasks = 4, .accelerators = 8, .gang = true, .same_rack = true};
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 1};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    job = run_job(&site, 1, &gang);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    job = run_job(&cluster, 1, &gang);
     CU_ASSERT_EQUAL(placed(job), 4);
     for (unsigned i = 1; i < 4; i++) {
         CU_ASSERT_STRING_EQUAL(worker_of(job, i)->rack,
                                worker_of(job, 0)->rack);
     }
     /* With a task in each other rack, no rack is idle. */
-    step_of(run_job(&site, 1, &one));
-    run_job(&site, 1, &(struct cw_step_spec){.tasks = 1, .accelerators = 8});
-    job = add_job(&site, 1, &gang);
-    pass(&site, 10);
+    step_of(run_job(&cluster, 1, &one));
+    run_job(&cluster, 1,
+            &(struct cw_step_spec){.tasks = 1, .accelerators = 8});
+    job = add_job(&cluster, 1, &gang);
+    pass(&cluster, 10);
     CU_ASSERT_TRUE(placed(job) == 0 || placed(job) == 4);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
@@ -38,18 +39,18 @@
         .tasks = RACKS * PER_RACK, .accelerators = 8, .checkpoints = true};
     const struct cw_step_spec gang = {
         .tasks = 2, .accelerators = 8, .gang = true, .same_rack = true};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *low;
     struct owner_job *urgent;
     unsigned stopping = 0;
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    low = run_job(&site, 2, &all);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    low = run_job(&cluster, 2, &all);
     CU_ASSERT_EQUAL(placed(low), RACKS * PER_RACK);
-    set_guarantee(&site, 16);
-    urgent = add_job(&site, 0, &gang);
-    pass(&site, 10);
+    set_guarantee(&cluster, 16);
+    urgent = add_job(&cluster, 0, &gang);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(placed(urgent), 2);
     CU_ASSERT_STRING_EQUAL(worker_of(urgent, 0)->rack,
                            worker_of(urgent, 1)->rack);
@@ -61,12 +62,12 @@
     CU_ASSERT_EQUAL(step_of(urgent)->tasks[0].run->phase, RUN_RESERVED);
     for (unsigned i = 0; i < step_of(low)->count; i++) {
         if (step_of(low)->tasks[i].run->stopping) {
-            owner_run_drop(site.owner, step_of(low)->tasks[i].run);
+            owner_run_drop(cluster.owner, step_of(low)->tasks[i].run);
         }
     }
     CU_ASSERT_EQUAL(step_of(urgent)->tasks[0].run->phase, RUN_NEW);
     CU_ASSERT_EQUAL(step_of(urgent)->tasks[1].run->phase, RUN_NEW);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
@@ -77,28 +78,29 @@
     const struct cw_step_spec with_checkpoints = {
         .tasks = 6, .accelerators = 8, .checkpoints = true};
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 8};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job_without_checkpoints;
     struct owner_job *job_with_checkpoints;
     unsigned stopped[2] = {0, 0};
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    job_without_checkpoints = run_job(&site, 2, &without_checkpoints);
-    job_with_checkpoints = run_job(&site, 1, &with_checkpoints);
-    pass(&site, 5000);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    job_without_checkpoints = run_job(&cluster, 2, &without_checkpoints);
+    job_with_checkpoints = run_job(&cluster, 1, &with_checkpoints);
+    pass(&cluster, 5000);
     for (unsigned i = 0; i < 6; i++) { /* a checkpoint was just saved */
-        step_of(job_with_checkpoints)->tasks[i].run->saved_at = site.clock.now;
+        step_of(job_with_checkpoints)->tasks[i].run->saved_at =
+            cluster.clock.now;
     }
-    add_job(&site, 0, &one);
-    pass(&site, 10);
+    add_job(&cluster, 0, &one);
+    pass(&cluster, 10);
     for (unsigned i = 0; i < 6; i++) {
         stopped[0] += step_of(job_without_checkpoints)->tasks[i].run->stopping;
         stopped[1] += step_of(job_with_checkpoints)->tasks[i].run->stopping;
     }
     CU_ASSERT_EQUAL(stopped[0], 0);
     CU_ASSERT_EQUAL(stopped[1], 1);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
@@ -106,26 +108,26 @@
 {
     const struct cw_step_spec burst = {.tasks = 4, .accelerators = 8};
     const struct cw_step_spec flood = {.tasks = 96, .accelerators = 1};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *urgent;
     struct owner_job *low;
     unsigned workers_used = 0;
     GHashTableIter iterator;
     gpointer value;
 
-    site_begin(&site);
-    urgent = run_job(&site, 0, &burst);
+    cluster_begin(&cluster);
+    urgent = run_job(&cluster, 0, &burst);
     CU_ASSERT_EQUAL(placed(urgent), 4);
-    low = add_job(&site, 2, &flood);
-    pass(&site, 10);
-    g_hash_table_iter_init(&iterator, site.owner->targets);
+    low = add_job(&cluster, 2, &flood);
+    pass(&cluster, 10);
+    g_hash_table_iter_init(&iterator, cluster.owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         workers_used +=
             ((struct owner_target *)value)->lower_priority_runs > 0;
     }
     CU_ASSERT_TRUE(placed(low) > 0);
     CU_ASSERT_TRUE(workers_used < RACKS * PER_RACK - 4);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
@@ -135,20 +137,20 @@
     const struct cw_step_spec gang = {
         .tasks = 3, .accelerators = 8, .gang = true, .same_rack = true};
     const struct cw_step_spec small = {.tasks = 96, .accelerators = 1};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *before;
     struct owner_job *waits;
     struct owner_job *low;
     const char *rack = NULL;
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    before = run_job(&site, 2, &fill);
-    waits = add_job(&site, 1, &gang);
-    pass(&site, 10);
-    pass(&site, 2000);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    before = run_job(&cluster, 2, &fill);
+    waits = add_job(&cluster, 1, &gang);
+    pass(&cluster, 10);
+    pass(&cluster, 2000);
     CU_ASSERT_EQUAL(placed(waits), 0);
-    low = add_job(&site, 2, &small);
+    low = add_job(&cluster, 2, &small);
     /* The tasks in the reserved rack end one by one; the gang gets the rack.
      */
     for (unsigned i = 0; i < step_of(before)->count; i++) {
@@ -158,14 +160,14 @@
             rack = run->target->rack;
             step_of(before)->tasks[i].done = true;
             step_of(before)->left--;
-            owner_run_drop(site.owner, run);
-            pass(&site, 10);
+            owner_run_drop(cluster.owner, run);
+            pass(&cluster, 10);
         }
     }
     CU_ASSERT_PTR_NOT_NULL(rack);
     CU_ASSERT_EQUAL(placed(waits), 3);
     (void)low;
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
@@ -173,33 +175,33 @@
 {
     const struct cw_step_spec all = {.tasks = 12, .accelerators = 8};
     const struct cw_step_spec none = {.tasks = 2, .accelerators = 9};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_job *failing[2];
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    failing[0] = add_job(&site, 1, &none);
-    failing[1] = add_job(&site, 1, &none);
-    owner_target_get(site.owner, "w00")->draining = true;
-    owner_target_get(site.owner, "w01")->listed = false;
-    owner_target_get(site.owner, "w02")->superseded = true;
-    owner_target_get(site.owner, "w03")->unanswered_polls = 1;
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    failing[0] = add_job(&cluster, 1, &none);
+    failing[1] = add_job(&cluster, 1, &none);
+    owner_target_get(cluster.owner, "w00")->draining = true;
+    owner_target_get(cluster.owner, "w01")->listed = false;
+    owner_target_get(cluster.owner, "w02")->superseded = true;
+    owner_target_get(cluster.owner, "w03")->unanswered_polls = 1;
     for (unsigned i = 0; i < G_N_ELEMENTS(failing); i++) {
-        owner_target_add_failure(owner_target_get(site.owner, "w04"),
+        owner_target_add_failure(owner_target_get(cluster.owner, "w04"),
                                  &step_of(failing[i])->tasks[0],
-                                 site.clock.now);
+                                 cluster.clock.now);
     }
-    owner_target_get(site.owner, "w05")->incarnation.slow_until =
-        cw_time_add_ms(site.clock.now, 1000);
-    job = add_job(&site, 1, &all);
-    pass(&site, 10);
+    owner_target_get(cluster.owner, "w05")->incarnation.slow_until =
+        cw_time_add_ms(cluster.clock.now, 1000);
+    job = add_job(&cluster, 1, &all);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(placed(job), 6);
-    pass(&site, 5000);
+    pass(&cluster, 5000);
     CU_ASSERT_EQUAL(placed(job), 7);
-    pass(&site, 2500); /* the failures are no longer counted */
+    pass(&cluster, 2500); /* the failures are no longer counted */
     CU_ASSERT_EQUAL(placed(job), 8);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Guards against workers that are avoided because of one task that fails on
@@ -208,30 +210,31 @@
 test_one_failing_task_does_not_exclude_workers(void)
 {
     const struct cw_step_spec all = {.tasks = 12, .accelerators = 8};
-    struct site site;
+    struct cluster cluster;
     struct owner_target *target;
     struct owner_job *job;
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    job = add_job(&site, 1, &all);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    job = add_job(&cluster, 1, &all);
     for (unsigned i = 0; i < RACKS * PER_RACK; i++) {
         char name[16];
 
         g_snprintf(name, sizeof(name), "w%02u", i);
-        target = owner_target_get(site.owner, name);
+        target = owner_target_get(cluster.owner, name);
         owner_target_add_failure(target, &step_of(job)->tasks[0],
-                                 site.clock.now);
+                                 cluster.clock.now);
         owner_target_add_failure(target, &step_of(job)->tasks[0],
-                                 site.clock.now);
+                                 cluster.clock.now);
     }
-    pass(&site, 10);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(placed(job), 12);
-    target = owner_target_get(site.owner, "w00");
+    target = owner_target_get(cluster.owner, "w00");
     owner_target_add_success(target);
-    owner_target_add_failure(target, &step_of(job)->tasks[0], site.clock.now);
-    CU_ASSERT_TRUE(owner_target_usable(target, site.clock.now));
-    site_end(&site);
+    owner_target_add_failure(target, &step_of(job)->tasks[0],
+                             cluster.clock.now);
+    CU_ASSERT_TRUE(owner_target_usable(target, cluster.clock.now));
+    cluster_end(&cluster);
 }
 
 /* Guards against preempting more gangs than needed in a full service.  A gang
@@ -245,24 +248,24 @@
         .tasks = 4, .accelerators = 8, .gang = true};
     const struct cw_step_spec urgent = {
         .tasks = 4, .accelerators = 8, .gang = true};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *below[RACKS];
     unsigned stopping = 0;
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
     for (unsigned i = 0; i < RACKS; i++) {
-        below[i] = run_job(&site, 1, &lower);
+        below[i] = run_job(&cluster, 1, &lower);
         CU_ASSERT_EQUAL(placed(below[i]), 4);
     }
-    set_guarantee(&site, 96);
-    add_job(&site, 0, &urgent);
-    pass(&site, 10);
+    set_guarantee(&cluster, 96);
+    add_job(&cluster, 0, &urgent);
+    pass(&cluster, 10);
     for (unsigned i = 0; i < RACKS; i++) {
         stopping += step_of(below[i])->tasks[0].run->stopping;
     }
     CU_ASSERT_EQUAL(stopping, 1);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
@@ -272,18 +275,18 @@
                                         .accelerators = 1,
                                         .most_per_worker = 1,
                                         .label = (char *)"odd"};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    job = add_job(&site, 1, &spread);
-    pass(&site, 10);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    job = add_job(&cluster, 1, &spread);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(placed(job), 6); /* six odd workers, one task each */
     for (unsigned i = 0; i < 6; i++) {
         CU_ASSERT_STRING_EQUAL(worker_of(job, i)->kind, "odd");
     }
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static const struct cw_step_spec whole_workers = {
@@ -293,19 +296,19 @@
  * present value, then each time `percent` more, or `first_percent` more for
  * the first member. */
 static void
-report_progress(struct site *site, struct owner_step *step, unsigned percent,
-                unsigned first_percent)
+report_progress(struct cluster *cluster, struct owner_step *step,
+                unsigned percent, unsigned first_percent)
 {
     unsigned from = step->tasks[0].run->percent;
 
     for (unsigned turn = 0; turn <= 3; turn++) {
-        pass(site, 500);
+        pass(cluster, 500);
         for (unsigned i = 0; i < step->count; i++) {
             struct owner_run *run = step->tasks[i].run;
 
             run->percent = from + turn * (i == 0 ? first_percent : percent);
-            owner_speed_observe(site->owner, run, run->percent,
-                                site->clock.now);
+            owner_speed_observe(cluster->owner, run, run->percent,
+                                cluster->clock.now);
         }
     }
 }
@@ -314,21 +317,21 @@
 static void
 test_a_member_that_becomes_slow_shows_a_slow_worker(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_step *step;
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    job = run_job(&site, 1, &whole_workers);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    job = run_job(&cluster, 1, &whole_workers);
     step = step_of(job);
-    report_progress(&site, step, 10, 10);
-    CU_ASSERT_TRUE(owner_target_usable(worker_of(job, 0), site.clock.now));
-    report_progress(&site, step, 10, 1);
-    CU_ASSERT_FALSE(owner_target_usable(worker_of(job, 0), site.clock.now));
-    CU_ASSERT_TRUE(owner_target_usable(worker_of(job, 1), site.clock.now));
+    report_progress(&cluster, step, 10, 10);
+    CU_ASSERT_TRUE(owner_target_usable(worker_of(job, 0), cluster.clock.now));
+    report_progress(&cluster, step, 10, 1);
+    CU_ASSERT_FALSE(owner_target_usable(worker_of(job, 0), cluster.clock.now));
+    CU_ASSERT_TRUE(owner_target_usable(worker_of(job, 1), cluster.clock.now));
     CU_ASSERT_TRUE(step->tasks[0].run->stopping); /* restart is worthwhile */
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Guards against gangs that are stopped because one of their tasks takes
@@ -336,16 +339,16 @@
 static void
 test_a_long_member_does_not_show_a_slow_worker(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    job = run_job(&site, 1, &whole_workers);
-    report_progress(&site, step_of(job), 21, 3);
-    CU_ASSERT_TRUE(owner_target_usable(worker_of(job, 0), site.clock.now));
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    job = run_job(&cluster, 1, &whole_workers);
+    report_progress(&cluster, step_of(job), 21, 3);
+    CU_ASSERT_TRUE(owner_target_usable(worker_of(job, 0), cluster.clock.now));
     CU_ASSERT_FALSE(step_of(job)->tasks[0].run->stopping);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Guards against a worker that was slow before its work began, and delays one
@@ -355,21 +358,21 @@
 {
     static const struct cw_step_spec halves = {
         .tasks = 3, .accelerators = 4, .gang = true, .most_per_worker = 1};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *jobs[2];
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
     for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
-        jobs[i] = run_job(&site, 1, &halves);
-        report_progress(&site, step_of(jobs[i]), 20, 2);
+        jobs[i] = run_job(&cluster, 1, &halves);
+        report_progress(&cluster, step_of(jobs[i]), 20, 2);
     }
     CU_ASSERT_PTR_EQUAL(worker_of(jobs[0], 0), worker_of(jobs[1], 0));
     CU_ASSERT_FALSE(step_of(jobs[0])->tasks[0].run->stopping);
     CU_ASSERT_TRUE(step_of(jobs[1])->tasks[0].run->stopping);
     CU_ASSERT_FALSE(
-        owner_target_usable(worker_of(jobs[1], 0), site.clock.now));
-    site_end(&site);
+        owner_target_usable(worker_of(jobs[1], 0), cluster.clock.now));
+    cluster_end(&cluster);
 }
 
 /* Guards against workers that always have two thirds of the others' speed:
@@ -378,16 +381,16 @@
 static void
 test_a_permanent_speed_difference_is_measured(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    job = run_job(&site, 1, &whole_workers);
-    report_progress(&site, step_of(job), 20, 11);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    job = run_job(&cluster, 1, &whole_workers);
+    report_progress(&cluster, step_of(job), 20, 11);
     CU_ASSERT_TRUE(worker_of(job, 0)->incarnation.speed < 0.8);
-    CU_ASSERT_TRUE(owner_target_usable(worker_of(job, 0), site.clock.now));
-    site_end(&site);
+    CU_ASSERT_TRUE(owner_target_usable(worker_of(job, 0), cluster.clock.now));
+    cluster_end(&cluster);
 }
 
 /* Guards against urgent work that is late because it runs on slow workers
@@ -399,24 +402,26 @@
     static const struct cw_step_spec small = {.tasks = 1, .accelerators = 1};
     static const struct cw_step_spec gang = {
         .tasks = 2, .accelerators = 8, .gang = true, .same_rack = true};
-    struct site site;
+    struct cluster cluster;
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    owner_run_create(site.owner, &step_of(add_job(&site, 0, &small))->tasks[0],
-                     owner_target_get(site.owner, "w01"), RUN_RUNNING, 1);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    owner_run_create(cluster.owner,
+                     &step_of(add_job(&cluster, 0, &small))->tasks[0],
+                     owner_target_get(cluster.owner, "w01"), RUN_RUNNING, 1);
     for (unsigned i = 8; i < 12; i++) {
         char name[16];
 
         g_snprintf(name, sizeof(name), "w%02u", i);
-        owner_target_get(site.owner, name)->incarnation.speed = 1.6;
+        owner_target_get(cluster.owner, name)->incarnation.speed = 1.6;
     }
-    CU_ASSERT_STRING_EQUAL(worker_of(run_job(&site, 0, &small), 0)->rack,
+    CU_ASSERT_STRING_EQUAL(worker_of(run_job(&cluster, 0, &small), 0)->rack,
                            "r2");
-    CU_ASSERT_STRING_EQUAL(worker_of(run_job(&site, 0, &gang), 0)->rack, "r2");
-    CU_ASSERT_STRING_NOT_EQUAL(worker_of(run_job(&site, 2, &small), 0)->rack,
-                               "r2");
-    site_end(&site);
+    CU_ASSERT_STRING_EQUAL(worker_of(run_job(&cluster, 0, &gang), 0)->rack,
+                           "r2");
+    CU_ASSERT_STRING_NOT_EQUAL(
+        worker_of(run_job(&cluster, 2, &small), 0)->rack, "r2");
+    cluster_end(&cluster);
 }
 
 static void
@@ -424,106 +429,106 @@
 {
     const struct cw_step_spec gang = {
         .tasks = 2, .accelerators = 8, .gang = true, .checkpoints = true};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    job = run_job(&site, 1, &gang);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    job = run_job(&cluster, 1, &gang);
     owner_task_save_checkpoint(&step_of(job)->tasks[0], "ck-1");
     owner_task_save_checkpoint(&step_of(job)->tasks[0], "");
     CU_ASSERT_STRING_EQUAL(step_of(job)->tasks[1].saved, "ck-1");
-    owner_run_lost(site.owner, step_of(job)->tasks[0].run, true, "test");
+    owner_run_lost(cluster.owner, step_of(job)->tasks[0].run, true, "test");
     CU_ASSERT_STRING_EQUAL(step_of(job)->tasks[0].saved, "ck-1");
     CU_ASSERT_TRUE(step_of(job)->tasks[1].run->stopping);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
 test_occurrences_open_when_they_are_due(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 1};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct cw_work_spec *spec;
 
-    site_begin(&site);
-    job = add_job(&site, 1, &one);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 1, &one);
     /* Changes the job as if it had been submitted with three occurrences. */
     spec = (struct cw_work_spec *)job->spec;
     spec->repeats = 3;
     spec->first_due_ms = START_MS;
     spec->interval_ms = 2000;
     CU_ASSERT_EQUAL(job->open->len, 1);
-    site.clock.now = cw_time_add_ms(site.clock.now, 1900);
-    owner_job_open_due(site.owner, job, site.clock.now);
+    cluster.clock.now = cw_time_add_ms(cluster.clock.now, 1900);
+    owner_job_open_due(cluster.owner, job, cluster.clock.now);
     CU_ASSERT_EQUAL(job->open->len, 1); /* the second is not due yet */
-    site.clock.now = cw_time_add_ms(site.clock.now, 200);
-    owner_job_open_due(site.owner, job, site.clock.now);
+    cluster.clock.now = cw_time_add_ms(cluster.clock.now, 200);
+    owner_job_open_due(cluster.owner, job, cluster.clock.now);
     CU_ASSERT_EQUAL(job->open->len, 2); /* it may overlap the first */
-    site.clock.now = cw_time_add_ms(site.clock.now, 9000);
-    owner_job_open_due(site.owner, job, site.clock.now);
+    cluster.clock.now = cw_time_add_ms(cluster.clock.now, 9000);
+    owner_job_open_due(cluster.owner, job, cluster.clock.now);
     CU_ASSERT_EQUAL(job->open->len, 3);
     CU_ASSERT_EQUAL(job->next_occurrence, 3);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
 test_a_refused_start_is_stopped_if_an_earlier_one_had_no_answer(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 1};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_run *run;
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    job = add_job(&site, 1, &one);
-    pass(&site, 10);
-    run = send_job_start(&site, job);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    job = add_job(&cluster, 1, &one);
+    pass(&cluster, 10);
+    run = send_job_start(&cluster, job);
     answer_last(CW_TARGET_UNKNOWN);
-    site.clock.now = cw_time_add_ms(site.clock.now, 100);
-    site.owner->ownership_confirmed_at = site.clock.now;
-    owner_orders_send(site.owner, run->target, site.clock.now);
+    cluster.clock.now = cw_time_add_ms(cluster.clock.now, 100);
+    cluster.owner->ownership_confirmed_at = cluster.clock.now;
+    owner_orders_send(cluster.owner, run->target, cluster.clock.now);
     answer_last(CW_TARGET_NO_CAPACITY);
     CU_ASSERT_EQUAL(placed(job), 1); /* the first may still be carried out */
     CU_ASSERT_TRUE(step_of(job)->tasks[0].run->stopping);
-    site_end(&site);
+    cluster_end(&cluster);
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    job = add_job(&site, 1, &one);
-    pass(&site, 10);
-    send_job_start(&site, job);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    job = add_job(&cluster, 1, &one);
+    pass(&cluster, 10);
+    send_job_start(&cluster, job);
     answer_last(CW_TARGET_NO_CAPACITY);
     CU_ASSERT_EQUAL(placed(job), 0); /* no start can arrive any more */
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
 test_a_gang_that_loses_members_does_not_start_the_others(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_step *step;
     struct owner_target *full;
     struct owner_target *empty;
 
-    site_begin(&site);
+    cluster_begin(&cluster);
     job = add_job(
-        &site, 0,
+        &cluster, 0,
         &(struct cw_step_spec){.tasks = 3, .accelerators = 1, .gang = true});
     step = step_of(job);
-    full = owner_target_get(site.owner, "w00");
-    empty = owner_target_get(site.owner, "w01");
+    full = owner_target_get(cluster.owner, "w00");
+    empty = owner_target_get(cluster.owner, "w01");
     full->used.accelerators = ACCELERATORS;
-    owner_run_create(site.owner, &step->tasks[0], full, RUN_RESERVED, 1);
-    owner_run_create(site.owner, &step->tasks[1], empty, RUN_RESERVED, 1);
-    owner_run_create(site.owner, &step->tasks[2], empty, RUN_RESERVED, 1);
-    owner_run_drop(site.owner, step->tasks[0].run);
-    owner_run_drop(site.owner, step->tasks[1].run);
+    owner_run_create(cluster.owner, &step->tasks[0], full, RUN_RESERVED, 1);
+    owner_run_create(cluster.owner, &step->tasks[1], empty, RUN_RESERVED, 1);
+    owner_run_create(cluster.owner, &step->tasks[2], empty, RUN_RESERVED, 1);
+    owner_run_drop(cluster.owner, step->tasks[0].run);
+    owner_run_drop(cluster.owner, step->tasks[1].run);
     CU_ASSERT_EQUAL(step->tasks[2].run->phase, RUN_RESERVED);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
@@ -531,23 +536,23 @@
 {
     const struct cw_step_spec all = {.tasks = 12, .accelerators = 8};
     const struct cw_step_spec four = {.tasks = 4, .accelerators = 8};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *over;
     struct owner_job *job;
     unsigned stopping = 0;
 
-    site_begin(&site);
-    over = add_job_for_account(&site, "over", 0, &all);
-    pass(&site, 10);
-    set_running(&site, over);
-    job = add_job(&site, 0, &four);
-    pass(&site, 10);
+    cluster_begin(&cluster);
+    over = add_job_for_account(&cluster, "over", 0, &all);
+    pass(&cluster, 10);
+    set_running(&cluster, over);
+    job = add_job(&cluster, 0, &four);
+    pass(&cluster, 10);
     CU_ASSERT_EQUAL(placed(job), 4);
     for (unsigned i = 0; i < 12; i++) {
         stopping += step_of(over)->tasks[i].run->stopping;
     }
     CU_ASSERT_EQUAL(stopping, 4);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static const struct test tests[] = {
--- a/tests/test_polls.c
+++ b/tests/test_polls.c
@@ -2,7 +2,7 @@
  * workers there are. */
 #include "test_main.h"
 
-#include "owner_site.h"
+#include "owner_cluster.h"
 
 enum { MANY_WORKERS = 600, POLLS_MAX = 100 };
 
@@ -17,14 +17,14 @@
 }
 
 static void
-site_begin_counting(struct site *site)
+cluster_begin_counting(struct cluster *cluster)
 {
     static const struct cw_targets_ops ops = {.order = count_order};
     static struct cw_targets targets = {.ops = &ops};
 
-    site_begin(site);
-    site->owner->options.targets = &targets;
-    site->owner->takeover_began_at = site->clock.now;
+    cluster_begin(cluster);
+    cluster->owner->options.targets = &targets;
+    cluster->owner->takeover_began_at = cluster->clock.now;
     orders = g_array_new(FALSE, FALSE, sizeof(struct cw_target_order));
 }
 
@@ -40,71 +40,71 @@
 }
 
 static void
-site_end_counting(struct site *site)
+cluster_end_counting(struct cluster *cluster)
 {
     while (orders->len > 0) {
         answer(CW_TARGET_UNREACHABLE);
     }
     g_array_unref(orders);
-    site_end(site);
+    cluster_end(cluster);
 }
 
 static void
-tick_all(struct site *site, unsigned ms)
+tick_all(struct cluster *cluster, unsigned ms)
 {
     GHashTableIter iterator;
     gpointer value;
 
-    site->clock.now = cw_time_add_ms(site->clock.now, ms);
-    site->owner->ownership_confirmed_at = site->clock.now;
-    g_hash_table_iter_init(&iterator, site->owner->targets);
+    cluster->clock.now = cw_time_add_ms(cluster->clock.now, ms);
+    cluster->owner->ownership_confirmed_at = cluster->clock.now;
+    g_hash_table_iter_init(&iterator, cluster->owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        owner_poll_tick(site->owner, value, site->clock.now);
+        owner_poll_tick(cluster->owner, value, cluster->clock.now);
     }
 }
 
 /* Sets the state as if each worker had just been polled. */
 static void
-set_polled(struct site *site)
+set_polled(struct cluster *cluster)
 {
     GHashTableIter iterator;
     gpointer value;
 
-    g_hash_table_iter_init(&iterator, site->owner->targets);
+    g_hash_table_iter_init(&iterator, cluster->owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        ((struct owner_target *)value)->poll_sent_at = site->clock.now;
+        ((struct owner_target *)value)->poll_sent_at = cluster->clock.now;
     }
 }
 
 static void
 test_polls_in_flight_are_limited(void)
 {
-    struct site site;
+    struct cluster cluster;
 
-    site_begin_counting(&site);
+    cluster_begin_counting(&cluster);
     for (unsigned i = RACKS * PER_RACK; i < MANY_WORKERS; i++) {
-        add_worker(&site, i);
+        add_worker(&cluster, i);
     }
-    tick_all(&site, 8000); /* longer than the interval of polls */
+    tick_all(&cluster, 8000); /* longer than the interval of polls */
     CU_ASSERT_EQUAL(orders->len, POLLS_MAX);
     answer(CW_TARGET_OK);
-    tick_all(&site, 1);
+    tick_all(&cluster, 1);
     CU_ASSERT_EQUAL(orders->len, POLLS_MAX); /* one more was sent */
-    site_end_counting(&site);
+    cluster_end_counting(&cluster);
 }
 
 static void
 test_more_workers_are_polled_less_often(void)
 {
-    struct site few;
-    struct site many;
+    struct cluster few;
+    struct cluster many;
 
-    site_begin_counting(&few);
+    cluster_begin_counting(&few);
     set_polled(&few);
     tick_all(&few, 3000);
     CU_ASSERT_EQUAL(orders->len, RACKS * PER_RACK);
-    site_end_counting(&few);
-    site_begin_counting(&many);
+    cluster_end_counting(&few);
+    cluster_begin_counting(&many);
     for (unsigned i = RACKS * PER_RACK; i < MANY_WORKERS; i++) {
         add_worker(&many, i);
     }
@@ -114,7 +114,7 @@
     CU_ASSERT_EQUAL(orders->len, 0);
     tick_all(&many, 1500);
     CU_ASSERT_EQUAL(orders->len, POLLS_MAX);
-    site_end_counting(&many);
+    cluster_end_counting(&many);
 }
 
 static const struct test tests[] = {
--- a/tests/test_reports.c
+++ b/tests/test_reports.c
@@ -1,23 +1,23 @@
 /* Invalid entries in the list of workers, which has other writers. */
 #include "test_main.h"
 
-#include "owner_site.h"
+#include "owner_cluster.h"
 #include "platform/platform.h"
 
 static void
-put_entry(struct site *site, const char *id, const char *text)
+put_entry(struct cluster *cluster, const char *id, const char *text)
 {
     struct cw_store_record record = {
         .key = id, .value = text, .length = strlen(text), .offset = 1};
 
-    owner_target_apply_record(site->owner, &record);
+    owner_target_apply_record(cluster->owner, &record);
 }
 
 static void
-begin_with_codec(struct site *site)
+begin_with_codec(struct cluster *cluster)
 {
-    site_begin(site);
-    site->owner->options.codec = platform_codec();
+    cluster_begin(cluster);
+    cluster->owner->options.codec = platform_codec();
 }
 
 /* Each invalid entry is logged and counted once; other workers are not
@@ -25,18 +25,18 @@
 static void
 test_invalid_entry_adds_no_worker(void)
 {
-    struct site site;
+    struct cluster cluster;
     guint before;
 
-    begin_with_codec(&site);
-    before = g_hash_table_size(site.owner->targets);
-    put_entry(&site, "x1", "\xff\xfe");
-    put_entry(&site, "x2", "{\"state\":\"ready\"}");
-    CU_ASSERT_EQUAL(g_hash_table_size(site.owner->targets), before);
-    CU_ASSERT_EQUAL(cw_count_get_code(&site.counters, CW_DROP_REPORT), 2);
-    CU_ASSERT_TRUE(owner_target_usable(owner_target_get(site.owner, "w00"),
-                                       site.clock.now));
-    site_end(&site);
+    begin_with_codec(&cluster);
+    before = g_hash_table_size(cluster.owner->targets);
+    put_entry(&cluster, "x1", "\xff\xfe");
+    put_entry(&cluster, "x2", "{\"state\":\"ready\"}");
+    CU_ASSERT_EQUAL(g_hash_table_size(cluster.owner->targets), before);
+    CU_ASSERT_EQUAL(cw_count_get_code(&cluster.counters, CW_DROP_REPORT), 2);
+    CU_ASSERT_TRUE(owner_target_usable(owner_target_get(cluster.owner, "w00"),
+                                       cluster.clock.now));
+    cluster_end(&cluster);
 }
 
 /* A worker's entry is overwritten: the worker gets no new work until it
@@ -45,46 +45,46 @@
 test_worker_with_overwritten_entry_gets_no_work(void)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 8};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     const struct owner_target *target;
 
-    begin_with_codec(&site);
-    job = run_job(&site, 1, &one);
+    begin_with_codec(&cluster);
+    job = run_job(&cluster, 1, &one);
     target = worker_of(job, 0);
-    put_entry(&site, target->id, "{\"service\":7}");
-    CU_ASSERT_FALSE(owner_target_usable(target, site.clock.now));
+    put_entry(&cluster, target->id, "{\"service\":7}");
+    CU_ASSERT_FALSE(owner_target_usable(target, cluster.clock.now));
     CU_ASSERT_EQUAL(placed(job), 1);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* The worker is not polled, as no configured work could run there. */
 static void
 test_worker_of_unknown_service_is_not_polled(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct cw_routing *routing = cw_routing_new();
     struct owner_target *target;
 
-    begin_with_codec(&site);
+    begin_with_codec(&cluster);
     cw_routing_add_service(routing)->name = g_strdup("s");
     cw_routing_finish(routing);
-    cw_owner_configure(site.owner, routing);
-    site.owner->ownership_confirmed_at = site.clock.now;
-    put_entry(&site, "x1",
+    cw_owner_configure(cluster.owner, routing);
+    cluster.owner->ownership_confirmed_at = cluster.clock.now;
+    put_entry(&cluster, "x1",
               "{\"service\":\"other\",\"address\":\"10.0.0.9:80\","
               "\"zone\":\"z\",\"state\":\"ready\",\"capacity\":{}}");
-    target = owner_target_get(site.owner, "x1");
-    owner_poll_tick(site.owner, target, site.clock.now);
+    target = owner_target_get(cluster.owner, "x1");
+    owner_poll_tick(cluster.owner, target, cluster.clock.now);
     CU_ASSERT_FALSE(target->poll_in_flight);
-    put_entry(&site, "x2",
+    put_entry(&cluster, "x2",
               "{\"service\":\"s\",\"address\":\"10.0.0.9:80\","
               "\"zone\":\"z\",\"state\":\"ready\",\"capacity\":{}}");
-    target = owner_target_get(site.owner, "x2");
-    owner_poll_tick(site.owner, target, site.clock.now);
+    target = owner_target_get(cluster.owner, "x2");
+    owner_poll_tick(cluster.owner, target, cluster.clock.now);
     CU_ASSERT_TRUE(target->poll_in_flight);
     cw_routing_unref(routing);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static const struct test tests[] = {
--- a/tests/test_restarts.c
+++ b/tests/test_restarts.c
@@ -12,7 +12,7 @@
 #include "test_main.h"
 
 #include "owner/internal/owner_crashes.h"
-#include "owner_site.h"
+#include "owner_cluster.h"
 
 enum {
     FIRST_BOOT_MS = 1000,
@@ -26,20 +26,20 @@
 
 /* Lets the owner process the worker; its orders wait for their answers. */
 static void
-tick(struct site *site, struct owner_target *target, unsigned ms)
+tick(struct cluster *cluster, struct owner_target *target, unsigned ms)
 {
-    site->clock.now = cw_time_add_ms(site->clock.now, ms);
-    site->owner->ownership_confirmed_at = site->clock.now;
-    owner_orders_send(site->owner, target, site->clock.now);
-    owner_poll_tick(site->owner, target, site->clock.now);
+    cluster->clock.now = cw_time_add_ms(cluster->clock.now, ms);
+    cluster->owner->ownership_confirmed_at = cluster->clock.now;
+    owner_orders_send(cluster->owner, target, cluster->clock.now);
+    owner_poll_tick(cluster->owner, target, cluster->clock.now);
 }
 
 /* Waits until the owner polls the worker. */
 static void
-await_poll(struct site *site, struct owner_target *target)
+await_poll(struct cluster *cluster, struct owner_target *target)
 {
     for (unsigned i = 0; i < 500 && !target->poll_in_flight; i++) {
-        tick(site, target, 10);
+        tick(cluster, target, 10);
     }
     CU_ASSERT_TRUE_FATAL(target->poll_in_flight);
     CU_ASSERT_EQUAL_FATAL(last_order.kind, CW_ORDER_POLL);
@@ -75,12 +75,12 @@
 
 /* Places a job and starts it.  Returns its worker. */
 static struct owner_target *
-start_job(struct site *site, struct owner_job *job)
+start_job(struct cluster *cluster, struct owner_job *job)
 {
     for (unsigned i = 0; i < 500 && placed(job) == 0; i++) {
-        pass(site, 10);
+        pass(cluster, 10);
     }
-    confirm_starts(site, job);
+    confirm_starts(cluster, job);
     return (struct owner_target *)worker_of(job, 0);
 }
 
@@ -99,16 +99,16 @@
 /* Completes a job on the worker, which numbers its end with `number`; a poll
  * then confirms to the worker that the end is stored. */
 static void
-complete_and_confirm(struct site *site, struct owner_target *target,
+complete_and_confirm(struct cluster *cluster, struct owner_target *target,
                      struct owner_job *job, int64_t boot_ms, uint64_t number)
 {
     struct cw_ended ended = end_of(job, number);
 
-    await_poll(site, target);
+    await_poll(cluster, target);
     answer_poll(boot_ms, NULL, &ended);
     CU_ASSERT_EQUAL(job->phase, CW_WORK_COMPLETED);
     store_ends(target);
-    await_poll(site, target);
+    await_poll(cluster, target);
     CU_ASSERT_EQUAL(last_order.acked, number);
     answer_poll(boot_ms, NULL, NULL);
 }
@@ -117,29 +117,30 @@
 static void
 test_ends_of_next_incarnation_are_received(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_target *target;
     struct cw_ended ended;
 
-    site_begin(&site);
-    job = add_job(&site, 0, &one);
-    target = start_job(&site, job);
-    complete_and_confirm(&site, target, job, FIRST_BOOT_MS, 1);
-    await_poll(&site, target);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 0, &one);
+    target = start_job(&cluster, job);
+    complete_and_confirm(&cluster, target, job, FIRST_BOOT_MS, 1);
+    await_poll(&cluster, target);
     answer_last(CW_TARGET_UNKNOWN);
-    await_poll(&site, target);
+    await_poll(&cluster, target);
     CU_ASSERT_EQUAL(last_order.acked, 0);
     answer_poll(FIRST_BOOT_MS + 1, NULL, NULL);
-    job = add_job(&site, 0, &one);
-    owner_run_create(site.owner, &step_of(job)->tasks[0], target, RUN_NEW, 1);
-    confirm_starts(&site, job);
-    await_poll(&site, target);
+    job = add_job(&cluster, 0, &one);
+    owner_run_create(cluster.owner, &step_of(job)->tasks[0], target, RUN_NEW,
+                     1);
+    confirm_starts(&cluster, job);
+    await_poll(&cluster, target);
     CU_ASSERT_EQUAL(last_order.acked, 0);
     ended = end_of(job, 1);
     answer_poll(FIRST_BOOT_MS + 1, NULL, &ended);
     CU_ASSERT_EQUAL(job->phase, CW_WORK_COMPLETED);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* The worker is unavailable for less than the interval between two polls, and
@@ -147,47 +148,48 @@
 static void
 test_end_is_not_confirmed_to_unknown_incarnation(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_target *target;
 
-    site_begin(&site);
-    job = add_job(&site, 0, &one);
-    target = start_job(&site, job);
-    complete_and_confirm(&site, target, job, FIRST_BOOT_MS, 1);
-    job = add_job(&site, 0, &one);
-    owner_run_create(site.owner, &step_of(job)->tasks[0], target, RUN_NEW, 1);
-    confirm_starts(&site, job);
-    await_poll(&site, target);
+    cluster_begin(&cluster);
+    job = add_job(&cluster, 0, &one);
+    target = start_job(&cluster, job);
+    complete_and_confirm(&cluster, target, job, FIRST_BOOT_MS, 1);
+    job = add_job(&cluster, 0, &one);
+    owner_run_create(cluster.owner, &step_of(job)->tasks[0], target, RUN_NEW,
+                     1);
+    confirm_starts(&cluster, job);
+    await_poll(&cluster, target);
     CU_ASSERT_EQUAL(last_order.acked, 0);
     answer_last(CW_TARGET_UNKNOWN);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Polls the worker until it answers as a new incarnation without runs. */
 static void
-crash_and_answer(struct site *site, struct owner_target *target,
+crash_and_answer(struct cluster *cluster, struct owner_target *target,
                  int64_t boot_ms)
 {
-    await_poll(site, target);
+    await_poll(cluster, target);
     answer_last(CW_TARGET_UNKNOWN);
-    await_poll(site, target);
+    await_poll(cluster, target);
     answer_poll(boot_ms, NULL, NULL);
 }
 
 /* Polls each worker once, so that its first incarnation is known. */
 static void
-poll_all(struct site *site)
+poll_all(struct cluster *cluster)
 {
     GHashTableIter iterator;
     gpointer value;
 
-    g_hash_table_iter_init(&iterator, site->owner->targets);
+    g_hash_table_iter_init(&iterator, cluster->owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct owner_target *target = value;
 
         target->answered = false;
-        await_poll(site, target);
+        await_poll(cluster, target);
         answer_poll(FIRST_BOOT_MS, NULL, NULL);
     }
 }
@@ -197,40 +199,40 @@
 static void
 test_crash_under_same_id_counts(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     unsigned starts = 0;
 
-    site_begin(&site);
-    poll_all(&site);
-    job = add_job(&site, 0, &one);
+    cluster_begin(&cluster);
+    poll_all(&cluster);
+    job = add_job(&cluster, 0, &one);
     for (; starts < STARTS_TRIED && !cw_work_is_over(job->phase); starts++) {
-        struct owner_target *target = start_job(&site, job);
+        struct owner_target *target = start_job(&cluster, job);
 
         if (target == NULL) {
             break;
         }
-        crash_and_answer(&site, target, FIRST_BOOT_MS + 1 + starts);
+        crash_and_answer(&cluster, target, FIRST_BOOT_MS + 1 + starts);
     }
     CU_ASSERT_TRUE(starts <= STARTS_MAX);
     CU_ASSERT_EQUAL(job->phase, CW_WORK_FAILED);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* ---- orders in flight during a restart ---- */
 
 /* Sends a start of the job to the worker, whose first incarnation is known. */
 static struct owner_run *
-send_start(struct site *site, struct owner_target *target,
+send_start(struct cluster *cluster, struct owner_target *target,
            struct owner_job *job)
 {
     struct owner_task *task = &step_of(job)->tasks[0];
     struct cw_task_name name = owner_task_name(task);
     struct owner_run *run =
-        owner_run_create(site->owner, task, target, RUN_READY, 1);
+        owner_run_create(cluster->owner, task, target, RUN_READY, 1);
 
-    owner_order_queue(site->owner, target, CW_ORDER_START, &name, 1);
-    tick(site, target, 1);
+    owner_order_queue(cluster->owner, target, CW_ORDER_START, &name, 1);
+    tick(cluster, target, 1);
     CU_ASSERT_EQUAL(run->phase, RUN_STARTING);
     return run;
 }
@@ -266,14 +268,14 @@
 
 /* Begins a cluster with one worker whose first incarnation is known. */
 static struct owner_target *
-first_worker(struct site *site)
+first_worker(struct cluster *cluster)
 {
     struct owner_target *target;
 
-    site_begin(site);
-    target = owner_target_get(site->owner, "w00");
+    cluster_begin(cluster);
+    target = owner_target_get(cluster->owner, "w00");
     target->answered = false;
-    await_poll(site, target);
+    await_poll(cluster, target);
     answer_poll(FIRST_BOOT_MS, NULL, NULL);
     return target;
 }
@@ -294,21 +296,22 @@
 static void
 test_start_is_not_resent_before_poll_is_answered(void)
 {
-    struct site site;
-    struct owner_target *target = first_worker(&site);
-    struct owner_run *run = send_start(&site, target, add_job(&site, 0, &one));
+    struct cluster cluster;
+    struct owner_target *target = first_worker(&cluster);
+    struct owner_run *run =
+        send_start(&cluster, target, add_job(&cluster, 0, &one));
 
-    await_poll(&site, target);
+    await_poll(&cluster, target);
     lose_answers();
     CU_ASSERT_TRUE(target->unanswered_polls > 0);
-    tick(&site, target, 100); /* the pause between two attempts is over */
+    tick(&cluster, target, 100); /* the pause between two attempts is over */
     CU_ASSERT_EQUAL(target->orders_in_flight, 0);
-    await_poll(&site, target);
+    await_poll(&cluster, target);
     answer_poll(FIRST_BOOT_MS + 1, NULL, NULL);
-    tick(&site, target, 1);
+    tick(&cluster, target, 1);
     CU_ASSERT_EQUAL(target->orders_in_flight, 1);
     CU_ASSERT_EQUAL(run->phase, RUN_STARTING);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* A start that was never sent does not wait for a worker that does not
@@ -316,18 +319,18 @@
 static void
 test_unsent_start_is_placed_elsewhere(void)
 {
-    struct site site;
-    struct owner_target *target = first_worker(&site);
-    struct owner_job *job = add_job(&site, 0, &one);
+    struct cluster cluster;
+    struct owner_target *target = first_worker(&cluster);
+    struct owner_job *job = add_job(&cluster, 0, &one);
     struct owner_task *task = &step_of(job)->tasks[0];
     struct cw_task_name name = owner_task_name(task);
 
-    owner_run_create(site.owner, task, target, RUN_READY, 1);
-    owner_order_queue(site.owner, target, CW_ORDER_START, &name, 1);
+    owner_run_create(cluster.owner, task, target, RUN_READY, 1);
+    owner_order_queue(cluster.owner, target, CW_ORDER_START, &name, 1);
     target->unanswered_polls = 1;
-    tick(&site, target, 1);
+    tick(&cluster, target, 1);
     CU_ASSERT_PTR_NULL(task->run);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* The next incarnation has not received the stop: it would carry out a start
@@ -335,38 +338,38 @@
 static void
 test_stop_confirmed_by_former_incarnation_is_resent(void)
 {
-    struct site site;
-    struct owner_target *target = first_worker(&site);
-    struct owner_job *job = add_job(&site, 0, &one);
-    struct owner_run *run = send_start(&site, target, job);
+    struct cluster cluster;
+    struct owner_target *target = first_worker(&cluster);
+    struct owner_job *job = add_job(&cluster, 0, &one);
+    struct owner_run *run = send_start(&cluster, target, job);
 
     lose_answers();
-    owner_run_stop(site.owner, run);
+    owner_run_stop(cluster.owner, run);
     run->stop_queued = false;
     run->stop_confirmed = true;
-    run->stop_confirmed_at = site.clock.now;
-    await_poll(&site, target);
+    run->stop_confirmed_at = cluster.clock.now;
+    await_poll(&cluster, target);
     answer_poll(FIRST_BOOT_MS + 1, NULL, NULL);
     CU_ASSERT_PTR_NOT_NULL(step_of(job)->tasks[0].run);
     CU_ASSERT_FALSE(run->stop_confirmed);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
 test_run_reported_by_next_incarnation_continues(void)
 {
-    struct site site;
-    struct owner_target *target = first_worker(&site);
-    struct owner_job *job = add_job(&site, 0, &one);
-    struct owner_run *run = send_start(&site, target, job);
+    struct cluster cluster;
+    struct owner_target *target = first_worker(&cluster);
+    struct owner_job *job = add_job(&cluster, 0, &one);
+    struct owner_run *run = send_start(&cluster, target, job);
     const struct cw_running listed = running_report(run);
 
     answer_start();
-    await_poll(&site, target);
+    await_poll(&cluster, target);
     answer_poll(FIRST_BOOT_MS + 1, &listed, NULL);
     CU_ASSERT_PTR_EQUAL(step_of(job)->tasks[0].run, run);
     CU_ASSERT_EQUAL(step_of(job)->tasks[0].suspicion, 0);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static unsigned
@@ -386,21 +389,21 @@
 static void
 test_late_start_of_lost_run_is_stopped(void)
 {
-    struct site site;
-    struct owner_target *target = first_worker(&site);
-    struct owner_job *job = add_job(&site, 0, &one);
-    struct owner_run *run = send_start(&site, target, job);
+    struct cluster cluster;
+    struct owner_target *target = first_worker(&cluster);
+    struct owner_job *job = add_job(&cluster, 0, &one);
+    struct owner_run *run = send_start(&cluster, target, job);
     const struct cw_running listed = running_report(run);
 
     run->unanswered = 1;
     answer_start();
-    await_poll(&site, target);
+    await_poll(&cluster, target);
     answer_poll(FIRST_BOOT_MS, &listed, NULL);
-    await_poll(&site, target);
+    await_poll(&cluster, target);
     answer_poll(FIRST_BOOT_MS + 1, NULL, NULL);
     CU_ASSERT_EQUAL(placed(job), 0);
     CU_ASSERT_EQUAL(stops_queued(target), 1);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* The first start had no answer: the former incarnation may have begun the
@@ -408,23 +411,23 @@
 static void
 test_at_most_once_start_is_not_sent_to_next_incarnation(void)
 {
-    struct site site;
-    struct owner_target *target = first_worker(&site);
-    struct owner_job *job = add_job(&site, 0, &one);
+    struct cluster cluster;
+    struct owner_target *target = first_worker(&cluster);
+    struct owner_job *job = add_job(&cluster, 0, &one);
     struct owner_run *run;
 
     ((struct cw_work_spec *)job->spec)->once = true;
-    run = send_start(&site, target, job);
+    run = send_start(&cluster, target, job);
     lose_answers();
     CU_ASSERT_EQUAL(run->unanswered, 1);
-    tick(&site, target, 10);
+    tick(&cluster, target, 10);
     CU_ASSERT_EQUAL(target->orders_in_flight,
                     0); /* the poll has to be answered first */
-    await_poll(&site, target);
+    await_poll(&cluster, target);
     answer_poll(FIRST_BOOT_MS + 1, NULL, NULL);
-    tick(&site, target, 10);
+    tick(&cluster, target, 10);
     CU_ASSERT_TRUE(run->stopping);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* The worker is cut off from this VM and has reported its new incarnation to
@@ -432,24 +435,24 @@
 static void
 test_report_of_next_incarnation_ends_wait(void)
 {
-    struct site site;
-    struct owner_target *target = first_worker(&site);
-    struct owner_job *job = add_job(&site, 0, &one);
-    struct owner_run *run = send_start(&site, target, job);
+    struct cluster cluster;
+    struct owner_target *target = first_worker(&cluster);
+    struct owner_job *job = add_job(&cluster, 0, &one);
+    struct owner_run *run = send_start(&cluster, target, job);
     const struct cw_running listed = running_report(run);
 
     answer_start();
-    await_poll(&site, target);
+    await_poll(&cluster, target);
     answer_poll(FIRST_BOOT_MS, &listed, NULL);
-    await_poll(&site, target);
+    await_poll(&cluster, target);
     answer_poll(FIRST_BOOT_MS, &listed, NULL);
-    await_poll(&site, target);
+    await_poll(&cluster, target);
     answer_last(CW_TARGET_UNKNOWN);
     CU_ASSERT_EQUAL(placed(job), 1);
     owner_incarnation_reported(target, FIRST_BOOT_MS + 1);
     CU_ASSERT_EQUAL(placed(job), 0);
     CU_ASSERT_TRUE(step_of(job)->tasks[0].suspicion > 0);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* ---- takeover ---- */
@@ -457,9 +460,9 @@
 /* A job restored from the state of another owner, with a run on the first
  * incarnation of w00. */
 static struct owner_job *
-take_over(struct site *site, bool once)
+take_over(struct cluster *cluster, bool once)
 {
-    struct site before;
+    struct cluster before;
     struct owner_target *target = first_worker(&before);
     struct owner_job *job = add_job(&before, 0, &one);
     GByteArray *state;
@@ -468,39 +471,39 @@
     owner_run_create(before.owner, &step_of(job)->tasks[0], target, RUN_NEW,
                      1);
     state = owner_job_encode(job);
-    site_end(&before);
-    site_begin(site);
-    job = add_job(site, 0, &one);
+    cluster_end(&before);
+    cluster_begin(cluster);
+    job = add_job(cluster, 0, &one);
     ((struct cw_work_spec *)job->spec)->once = once;
     bytes = g_bytes_new(state->data, state->len);
     g_ptr_array_set_size(job->open, 0);
-    CU_ASSERT_TRUE(owner_job_restore(site->owner, job, bytes));
+    CU_ASSERT_TRUE(owner_job_restore(cluster->owner, job, bytes));
     g_bytes_unref(bytes);
     g_byte_array_unref(state);
     return job;
 }
 
 static void
-poll_first(struct site *site, int64_t boot_ms)
+poll_first(struct cluster *cluster, int64_t boot_ms)
 {
-    struct owner_target *target = owner_target_get(site->owner, "w00");
+    struct owner_target *target = owner_target_get(cluster->owner, "w00");
 
     target->answered = false;
-    target->lease_end = cw_time_add_ms(site->clock.now, 10000);
-    await_poll(site, target);
+    target->lease_end = cw_time_add_ms(cluster->clock.now, 10000);
+    await_poll(cluster, target);
     answer_poll(boot_ms, NULL, NULL);
 }
 
 static void
 test_new_owner_detects_crash_of_worker(void)
 {
-    struct site site;
-    struct owner_job *job = take_over(&site, false);
+    struct cluster cluster;
+    struct owner_job *job = take_over(&cluster, false);
 
-    poll_first(&site, FIRST_BOOT_MS + 1);
+    poll_first(&cluster, FIRST_BOOT_MS + 1);
     CU_ASSERT_EQUAL(placed(job), 0);
     CU_ASSERT_TRUE(step_of(job)->tasks[0].suspicion > 0);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* A run that the worker does not report was never started, but only if the
@@ -508,16 +511,16 @@
 static void
 test_at_most_once_job_of_former_incarnation_is_not_begun_again(void)
 {
-    struct site site;
-    struct owner_job *job = take_over(&site, true);
+    struct cluster cluster;
+    struct owner_job *job = take_over(&cluster, true);
 
-    poll_first(&site, FIRST_BOOT_MS);
+    poll_first(&cluster, FIRST_BOOT_MS);
     CU_ASSERT_EQUAL(job->phase, CW_WORK_WAITING);
-    site_end(&site);
-    job = take_over(&site, true);
-    poll_first(&site, FIRST_BOOT_MS + 1);
+    cluster_end(&cluster);
+    job = take_over(&cluster, true);
+    poll_first(&cluster, FIRST_BOOT_MS + 1);
     CU_ASSERT_EQUAL(job->phase, CW_WORK_LOST);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static const struct test tests[] = {
--- a/tests/test_short_leases.c
+++ b/tests/test_short_leases.c
@@ -29,7 +29,7 @@
 check_start_after_idle(int64_t late_ms)
 {
     const struct cw_step_spec one = {.tasks = 1, .accelerators = 4};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_run *run;
     struct cw_task_name name;
@@ -37,43 +37,43 @@
     struct cw_target_answer answer = {.status = CW_TARGET_OK};
     struct cw_target_order poll;
 
-    site_begin(&site);
+    cluster_begin(&cluster);
     for (guint i = 0; i < RACKS * PER_RACK; i++) {
         char id[16];
         struct owner_target *target;
 
         g_snprintf(id, sizeof(id), "w%02u", i);
-        target = owner_target_get(site.owner, id);
-        owner_target_set_clock(target, clock_ms, site.clock.now);
+        target = owner_target_get(cluster.owner, id);
+        owner_target_set_clock(target, clock_ms, cluster.clock.now);
     }
-    site.clock.now = cw_time_add_ms(site.clock.now, IDLE_MS);
+    cluster.clock.now = cw_time_add_ms(cluster.clock.now, IDLE_MS);
     clock_ms += IDLE_MS * (100 - DRIFT_PERCENT) / 100;
-    site.owner->ownership_confirmed_at = site.clock.now;
-    job = add_job(&site, 1, &one);
-    pass(&site, 10);
+    cluster.owner->ownership_confirmed_at = cluster.clock.now;
+    job = add_job(&cluster, 1, &one);
+    pass(&cluster, 10);
     run = step_of(job)->tasks[0].run;
     CU_ASSERT_PTR_NOT_NULL_FATAL(run);
     run->phase = RUN_READY;
     name = owner_task_name(run->task);
-    owner_order_queue(site.owner, run->target, CW_ORDER_START, &name,
+    owner_order_queue(cluster.owner, run->target, CW_ORDER_START, &name,
                       run->number);
-    owner_orders_send(site.owner, run->target, site.clock.now);
+    owner_orders_send(cluster.owner, run->target, cluster.clock.now);
     CU_ASSERT_EQUAL(run->phase, RUN_READY);
-    (void)owner_poll_tick(site.owner, run->target, site.clock.now);
+    (void)owner_poll_tick(cluster.owner, run->target, cluster.clock.now);
     CU_ASSERT_EQUAL_FATAL(last_order.kind, CW_ORDER_POLL);
     poll = last_order;
     g_array_set_size(unanswered, unanswered->len - 1);
     answer.clock_ms = clock_ms;
     poll.done(poll.context, &answer);
-    site.clock.now = cw_time_add_ms(site.clock.now, AFTER_POLL_MS);
+    cluster.clock.now = cw_time_add_ms(cluster.clock.now, AFTER_POLL_MS);
     clock_ms += AFTER_POLL_MS * (100 - DRIFT_PERCENT) / 100;
-    site.owner->ownership_confirmed_at = site.clock.now;
-    owner_orders_send(site.owner, run->target, site.clock.now);
+    cluster.owner->ownership_confirmed_at = cluster.clock.now;
+    owner_orders_send(cluster.owner, run->target, cluster.clock.now);
     CU_ASSERT_EQUAL_FATAL(last_order.kind, CW_ORDER_START);
     clock_ms += late_ms * (100 - DRIFT_PERCENT) / 100;
     CU_ASSERT_TRUE(late_ms + lease_duration_ms(&last_order, clock_ms) <=
-                   cw_time_diff_ms(site.clock.now, run->target->lease_end));
-    site_end(&site);
+                   cw_time_diff_ms(cluster.clock.now, run->target->lease_end));
+    cluster_end(&cluster);
 }
 
 /* Guards against two runs of a task: a worker with a slow clock that was not
