--- a/tests/test_starvation.c
+++ b/tests/test_starvation.c
@@ -3,7 +3,7 @@
  * that unconfirmed runs don't count as work. */
 #include "test_main.h"
 
-#include "owner_site.h"
+#include "owner_cluster.h"
 
 enum {
     STEP_MS = 50,
@@ -24,47 +24,49 @@
                                                  .accelerators = ACCELERATORS};
 
 static void
-for_each_target(struct site *site, void (*change)(struct site *, void *))
+for_each_target(struct cluster *cluster,
+                void (*change)(struct cluster *, void *))
 {
     GHashTableIter iterator;
     gpointer value;
 
-    g_hash_table_iter_init(&iterator, site->owner->targets);
+    g_hash_table_iter_init(&iterator, cluster->owner->targets);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        change(site, value);
+        change(cluster, value);
     }
 }
 
 /* Reserves headroom as after a burst of urgent work. */
 static void
-reserve_headroom(struct site *site)
+reserve_headroom(struct cluster *cluster)
 {
     struct owner_headroom *headroom =
-        g_hash_table_lookup(site->owner->headroom, "s");
+        g_hash_table_lookup(cluster->owner->headroom, "s");
 
     if (headroom != NULL) {
         cw_headroom_observe(&headroom->forecast,
-                            RACKS * PER_RACK * ACCELERATORS, site->clock.now);
+                            RACKS * PER_RACK * ACCELERATORS,
+                            cluster->clock.now);
     }
 }
 
 static void
-run_passes(struct site *site, unsigned ms)
+run_passes(struct cluster *cluster, unsigned ms)
 {
     for (unsigned passed = 0; passed < ms; passed += STEP_MS) {
-        reserve_headroom(site);
-        pass(site, STEP_MS);
+        reserve_headroom(cluster);
+        pass(cluster, STEP_MS);
     }
 }
 
 /* Begins a cluster in which three of twelve workers are free, all of them
  * headroom for urgent work. */
 static void
-site_begin_all_reserved(struct site *site)
+cluster_begin_all_reserved(struct cluster *cluster)
 {
-    site_begin(site);
-    set_guarantee(site, RACKS * PER_RACK * ACCELERATORS);
-    run_job(site, 0, &nine_workers);
+    cluster_begin(cluster);
+    set_guarantee(cluster, RACKS * PER_RACK * ACCELERATORS);
+    run_job(cluster, 0, &nine_workers);
 }
 
 static struct owner_run *
@@ -83,18 +85,18 @@
 static void
 test_an_unconfirmed_run_does_not_hide_idle_tasks(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin_all_reserved(&site);
-    job = add_job(&site, 2, &wide);
-    run_passes(&site, PLACED_WITHIN_MS);
+    cluster_begin_all_reserved(&cluster);
+    job = add_job(&cluster, 2, &wide);
+    run_passes(&cluster, PLACED_WITHIN_MS);
     CU_ASSERT_EQUAL_FATAL(placed(job), 1);
     first_run(job)->phase = RUN_STARTING;
     first_run(job)->target->unanswered_polls = 1;
-    run_passes(&site, 1000);
+    run_passes(&cluster, 1000);
     CU_ASSERT_TRUE(placed(job) > 1);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Guards against runs that are counted as borrowing headroom without end: an
@@ -102,17 +104,17 @@
 static void
 test_borrowed_headroom_is_counted_again(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     struct owner_headroom *headroom;
 
-    site_begin_all_reserved(&site);
-    headroom = g_hash_table_lookup(site.owner->headroom, "s");
+    cluster_begin_all_reserved(&cluster);
+    headroom = g_hash_table_lookup(cluster.owner->headroom, "s");
     headroom->headroom_borrowed = RACKS * PER_RACK * ACCELERATORS;
-    job = add_job(&site, 2, &one_accelerator);
-    run_passes(&site, PLACED_WITHIN_MS);
+    job = add_job(&cluster, 2, &one_accelerator);
+    run_passes(&cluster, PLACED_WITHIN_MS);
     CU_ASSERT_EQUAL(placed(job), 1);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* A task that borrows headroom does not make its worker available to other
@@ -120,19 +122,19 @@
 static void
 test_a_confirmed_job_borrows_for_one_task_only(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin_all_reserved(&site);
-    job = add_job(&site, 2, &wide);
-    run_passes(&site, PLACED_WITHIN_MS);
-    confirm_starts(&site, job);
+    cluster_begin_all_reserved(&cluster);
+    job = add_job(&cluster, 2, &wide);
+    run_passes(&cluster, PLACED_WITHIN_MS);
+    confirm_starts(&cluster, job);
     for (unsigned i = 0; i < 10; i++) {
-        owner_idle_end(site.owner, job); /* it is listed */
-        run_passes(&site, 100);
+        owner_idle_end(cluster.owner, job); /* it is listed */
+        run_passes(&cluster, 100);
     }
     CU_ASSERT_EQUAL(placed(job), 1);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Guards against a limit on borrowed headroom that leaves some idle jobs
@@ -142,33 +144,33 @@
 {
     static const struct cw_step_spec eight = {.tasks = 8,
                                               .accelerators = ACCELERATORS};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *jobs[3];
 
-    site_begin(&site);
-    set_guarantee(&site, RACKS * PER_RACK * ACCELERATORS);
-    run_job(&site, 0, &eight);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, RACKS * PER_RACK * ACCELERATORS);
+    run_job(&cluster, 0, &eight);
     for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
-        jobs[i] = add_job(&site, 2, &whole_worker);
+        jobs[i] = add_job(&cluster, 2, &whole_worker);
     }
-    run_passes(&site, PLACED_WITHIN_MS);
+    run_passes(&cluster, PLACED_WITHIN_MS);
     for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
         CU_ASSERT_EQUAL(placed(jobs[i]), 1);
     }
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Begins a cluster in which one run borrows headroom and its start was just
  * confirmed; returns that run. */
 static struct owner_run *
-site_begin_with_borrowing_run(struct site *site)
+cluster_begin_with_borrowing_run(struct cluster *cluster)
 {
     struct owner_job *job;
 
-    site_begin_all_reserved(site);
-    job = add_job(site, 2, &whole_worker);
-    run_passes(site, PLACED_WITHIN_MS);
-    confirm_starts(site, job);
+    cluster_begin_all_reserved(cluster);
+    job = add_job(cluster, 2, &whole_worker);
+    run_passes(cluster, PLACED_WITHIN_MS);
+    confirm_starts(cluster, job);
     CU_ASSERT_PTR_NOT_NULL_FATAL(first_run(job));
     CU_ASSERT_TRUE_FATAL(first_run(job)->headroom_borrowed);
     return first_run(job);
@@ -179,17 +181,17 @@
 static void
 test_borrowed_headroom_is_reclaimed_before_it_is_needed(void)
 {
-    struct site site;
-    struct owner_run *run = site_begin_with_borrowing_run(&site);
+    struct cluster cluster;
+    struct owner_run *run = cluster_begin_with_borrowing_run(&cluster);
     struct owner_headroom *headroom =
-        g_hash_table_lookup(site.owner->headroom, "s");
+        g_hash_table_lookup(cluster.owner->headroom, "s");
 
     cw_headroom_arrived(&headroom->forecast, RACKS * PER_RACK * ACCELERATORS);
-    run_passes(&site, RUN_MIN_MS - STEP_MS);
+    run_passes(&cluster, RUN_MIN_MS - STEP_MS);
     CU_ASSERT_FALSE(run->stopping);
-    run_passes(&site, 3 * STEP_MS);
+    run_passes(&cluster, 3 * STEP_MS);
     CU_ASSERT_TRUE(run->stopping);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Without new urgent work there is enough free capacity, and the run goes on.
@@ -197,39 +199,39 @@
 static void
 test_borrowing_run_goes_on_without_urgent_work(void)
 {
-    struct site site;
-    struct owner_run *run = site_begin_with_borrowing_run(&site);
+    struct cluster cluster;
+    struct owner_run *run = cluster_begin_with_borrowing_run(&cluster);
 
-    run_passes(&site, 5000);
+    run_passes(&cluster, 5000);
     CU_ASSERT_FALSE(run->stopping);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* At-most-once work is never stopped for its capacity. */
 static void
 test_at_most_once_work_is_not_stopped(void)
 {
-    struct site site;
-    struct owner_run *run = site_begin_with_borrowing_run(&site);
+    struct cluster cluster;
+    struct owner_run *run = cluster_begin_with_borrowing_run(&cluster);
     struct owner_headroom *headroom =
-        g_hash_table_lookup(site.owner->headroom, "s");
+        g_hash_table_lookup(cluster.owner->headroom, "s");
 
     ((struct cw_work_spec *)owner_task_job(run->task)->spec)->once = true;
     cw_headroom_arrived(&headroom->forecast, RACKS * PER_RACK * ACCELERATORS);
-    run_passes(&site, 1000);
+    run_passes(&cluster, 1000);
     CU_ASSERT_FALSE(run->stopping);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
-reserve_first_rack(struct site *site, void *data)
+reserve_first_rack(struct cluster *cluster, void *data)
 {
     struct owner_target *target = data;
 
     if (strcmp(target->rack, "r0") == 0) {
-        target->rack_reserved_for = site; /* some other step */
+        target->rack_reserved_for = cluster; /* some other step */
         target->rack_reserved_priority = 1;
-        target->rack_reserved_until = cw_time_add_ms(site->clock.now, 400);
+        target->rack_reserved_until = cw_time_add_ms(cluster->clock.now, 400);
     }
 }
 
@@ -243,44 +245,45 @@
                                             .accelerators = ACCELERATORS};
     static const char *const full[] = {"w04", "w05", "w06",
                                        "w08", "w09", "w10"};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *urgent;
     struct owner_job *lower;
     struct owner_job *jobs[4];
 
-    site_begin(&site);
-    set_guarantee(&site, RACKS * PER_RACK * ACCELERATORS);
-    urgent = add_job(&site, 0, &six);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, RACKS * PER_RACK * ACCELERATORS);
+    urgent = add_job(&cluster, 0, &six);
     for (unsigned i = 0; i < G_N_ELEMENTS(full); i++) {
-        owner_run_create(site.owner, &step_of(urgent)->tasks[i],
-                         owner_target_get(site.owner, full[i]), RUN_RUNNING,
+        owner_run_create(cluster.owner, &step_of(urgent)->tasks[i],
+                         owner_target_get(cluster.owner, full[i]), RUN_RUNNING,
                          1);
     }
-    lower = add_job(&site, 1, &two);
-    owner_run_create(site.owner, &step_of(lower)->tasks[0],
-                     owner_target_get(site.owner, "w00"), RUN_RUNNING, 1);
-    owner_run_create(site.owner, &step_of(lower)->tasks[1],
-                     owner_target_get(site.owner, "w01"), RUN_RUNNING, 1);
+    lower = add_job(&cluster, 1, &two);
+    owner_run_create(cluster.owner, &step_of(lower)->tasks[0],
+                     owner_target_get(cluster.owner, "w00"), RUN_RUNNING, 1);
+    owner_run_create(cluster.owner, &step_of(lower)->tasks[1],
+                     owner_target_get(cluster.owner, "w01"), RUN_RUNNING, 1);
     for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
-        jobs[i] = add_job(&site, 2, &one_accelerator);
+        jobs[i] = add_job(&cluster, 2, &one_accelerator);
     }
     for (unsigned ms = 0; ms < PLACED_WITHIN_MS; ms += STEP_MS) {
-        for_each_target(&site, reserve_first_rack);
-        run_passes(&site, STEP_MS);
+        for_each_target(&cluster, reserve_first_rack);
+        run_passes(&cluster, STEP_MS);
     }
     for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
         CU_ASSERT_PTR_NOT_NULL_FATAL(worker_of(jobs[i], 0));
         CU_ASSERT_STRING_NOT_EQUAL(worker_of(jobs[i], 0)->rack, "r0");
     }
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
-make_suspect(struct site *site, void *data)
+make_suspect(struct cluster *cluster, void *data)
 {
     struct owner_target *target = data;
 
-    target->incarnation.suspect_until = cw_time_add_ms(site->clock.now, 7000);
+    target->incarnation.suspect_until =
+        cw_time_add_ms(cluster->clock.now, 7000);
 }
 
 /* Each endless task that has no run is placed, not only one of its step. */
@@ -291,32 +294,32 @@
                                             .accelerators = ACCELERATORS};
     static const struct cw_step_spec endless_tasks = {
         .tasks = 40, .accelerators = 1, .endless = true};
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    run_job(&site, 0, &six);
-    job = run_job(&site, 1, &endless_tasks);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    run_job(&cluster, 0, &six);
+    job = run_job(&cluster, 1, &endless_tasks);
     for (unsigned i = 0; i < 32; i++) {
-        owner_run_drop(site.owner, step_of(job)->tasks[i].run);
+        owner_run_drop(cluster.owner, step_of(job)->tasks[i].run);
     }
     for (unsigned ms = 0; ms < 6000; ms += STEP_MS) {
-        for_each_target(&site, make_suspect);
-        owner_idle_end(site.owner, job); /* the others are listed */
-        pass(&site, STEP_MS);
+        for_each_target(&cluster, make_suspect);
+        owner_idle_end(cluster.owner, job); /* the others are listed */
+        pass(&cluster, STEP_MS);
     }
     CU_ASSERT_EQUAL(placed(job), 40);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
-make_suspect_if_idle(struct site *site, void *data)
+make_suspect_if_idle(struct cluster *cluster, void *data)
 {
     struct owner_target *target = data;
 
     if (target->runs->len == 0) {
-        make_suspect(site, data);
+        make_suspect(cluster, data);
     }
 }
 
@@ -326,24 +329,24 @@
 static void
 test_urgent_work_does_not_wait_for_reserved_runs_for_ever(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *job;
     unsigned ms = 0;
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    run_job(&site, 1, &nine_workers);
-    set_guarantee(&site, RACKS * PER_RACK * ACCELERATORS);
-    job = add_job(&site, 0, &whole_worker);
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    run_job(&cluster, 1, &nine_workers);
+    set_guarantee(&cluster, RACKS * PER_RACK * ACCELERATORS);
+    job = add_job(&cluster, 0, &whole_worker);
     for (; ms < 20000; ms += STEP_MS) {
-        for_each_target(&site, make_suspect_if_idle);
-        pass(&site, STEP_MS);
+        for_each_target(&cluster, make_suspect_if_idle);
+        pass(&cluster, STEP_MS);
         if (first_run(job) != NULL && first_run(job)->phase == RUN_NEW) {
             break;
         }
     }
     CU_ASSERT_TRUE(ms <= 3100);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 /* Guards against many placements at once: for an owner that is behind, all
@@ -351,21 +354,21 @@
 static void
 test_a_pass_places_a_limited_number(void)
 {
-    struct site site;
+    struct cluster cluster;
     struct owner_job *jobs[90];
     unsigned before = 0;
 
-    site_begin(&site);
-    set_guarantee(&site, 0);
-    site.owner->order_window.max_outstanding = 96;
-    site.owner->order_window.outstanding = 96;
+    cluster_begin(&cluster);
+    set_guarantee(&cluster, 0);
+    cluster.owner->order_window.max_outstanding = 96;
+    cluster.owner->order_window.outstanding = 96;
     for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
-        jobs[i] = add_job(&site, 2, &one_accelerator);
+        jobs[i] = add_job(&cluster, 2, &one_accelerator);
     }
     for (unsigned ms = 0; ms < 4000; ms += 2 * STEP_MS) {
         unsigned now = 0;
 
-        pass(&site, 2 * STEP_MS);
+        pass(&cluster, 2 * STEP_MS);
         for (unsigned i = 0; i < G_N_ELEMENTS(jobs); i++) {
             now += placed(jobs[i]);
         }
@@ -373,8 +376,8 @@
         before = now;
     }
     CU_ASSERT_EQUAL(before, G_N_ELEMENTS(jobs));
-    site.owner->order_window.outstanding = 0;
-    site_end(&site);
+    cluster.owner->order_window.outstanding = 0;
+    cluster_end(&cluster);
 }
 
 static const struct test tests[] = {
--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -28,21 +28,21 @@
 static void
 test_an_outcome_does_not_grow_with_the_job(void)
 {
-    struct site site;
+    struct cluster cluster;
     const struct cw_step_spec wide = {.tasks = 90, .accelerators = 1};
     struct owner_job *job;
     GByteArray *state;
     GByteArray *outcome;
 
-    site_begin(&site);
-    job = run_job(&site, 1, &wide);
+    cluster_begin(&cluster);
+    job = run_job(&cluster, 1, &wide);
     state = owner_job_encode(job);
     outcome = owner_outcome_encode(job);
     CU_ASSERT_TRUE(outcome->len <= 52);
     CU_ASSERT_TRUE(state->len > 2 * outcome->len);
     g_byte_array_unref(state);
     g_byte_array_unref(outcome);
-    site_end(&site);
+    cluster_end(&cluster);
 }
 
 static void
--- a/tools/bench/bench_place.c
+++ b/tools/bench/bench_place.c
@@ -6,7 +6,7 @@
 
 #include "bench.h"
 #include "curlewcart/cw_process.h"
-#include "owner_site.h"
+#include "owner_cluster.h"
 
 enum {
     DEFAULT_WORKERS = 350,
@@ -17,16 +17,16 @@
 };
 
 static void
-fill_workers(struct site *site, unsigned workers)
+fill_workers(struct cluster *cluster, unsigned workers)
 {
-    g_hash_table_remove_all(site->owner->targets);
+    g_hash_table_remove_all(cluster->owner->targets);
     for (unsigned i = 0; i < workers; i++) {
         char name[16];
         struct owner_target *target;
 
-        add_worker(site, i);
+        add_worker(cluster, i);
         g_snprintf(name, sizeof(name), "w%02u", i);
-        target = owner_target_get(site->owner, name);
+        target = owner_target_get(cluster->owner, name);
         set_rack(target, i / WORKERS_PER_RACK);
     }
 }
@@ -34,7 +34,7 @@
 /* Duration of a pass that only finds, for each waiting job, the first worker
  * with a free accelerator. */
 static double
-measure_first_fit_us(const struct site *site, unsigned jobs)
+measure_first_fit_us(const struct cluster *cluster, unsigned jobs)
 {
     double started_us = bench_now_us();
     volatile unsigned found = 0;
@@ -44,7 +44,7 @@
         GHashTableIter iterator;
         gpointer value;
 
-        g_hash_table_iter_init(&iterator, site->owner->targets);
+        g_hash_table_iter_init(&iterator, cluster->owner->targets);
         while (g_hash_table_iter_next(&iterator, NULL, &value)) {
             const struct owner_target *target = value;
 
@@ -70,29 +70,30 @@
     const struct cw_step_spec step = {.tasks = TASKS_PER_JOB,
                                       .accelerators = 1};
     GArray *pass_durations_us = g_array_new(FALSE, FALSE, sizeof(double));
-    struct site site;
+    struct cluster cluster;
     double first_fit_duration_us;
 
-    site_begin(&site);
-    fill_workers(&site, workers);
+    cluster_begin(&cluster);
+    fill_workers(&cluster, workers);
     for (unsigned i = 0; i < workers * ACCELERATORS / TASKS_PER_JOB; i++) {
-        add_job(&site, 1, &step); /* fill what lower-priority work may use */
+        add_job(&cluster, 1,
+                &step); /* fill what lower-priority work may use */
     }
-    pass(&site, 10);
+    pass(&cluster, 10);
     for (unsigned i = 0; i < jobs; i++) {
-        add_job(&site, 1, &step);
+        add_job(&cluster, 1, &step);
     }
     for (unsigned i = 0; i < PASSES; i++) {
         double started_us;
         double elapsed_us;
 
-        site.owner->capacity_version++; /* as if capacity had been freed */
+        cluster.owner->capacity_version++; /* as if capacity had been freed */
         started_us = bench_now_us();
-        pass(&site, 10);
+        pass(&cluster, 10);
         elapsed_us = bench_now_us() - started_us;
         g_array_append_val(pass_durations_us, elapsed_us);
     }
-    first_fit_duration_us = measure_first_fit_us(&site, jobs);
+    first_fit_duration_us = measure_first_fit_us(&cluster, jobs);
     printf("mode=place workers=%u waiting=%u p50_us=%.0f p99_us=%.0f "
            "first_fit_us=%.0f p50_ratio=%.1f resident_mb=%.1f\n",
            workers, waiting, bench_percentile(pass_durations_us, 0.5),
@@ -101,6 +102,6 @@
                MAX(first_fit_duration_us, 1.0),
            cw_process_resident_bytes() / 1e6);
     g_array_unref(pass_durations_us);
-    site_end(&site);
+    cluster_end(&cluster);
     return 0;
 }
