--- a/src/bundle/bundle_check.c
+++ b/src/bundle/bundle_check.c
@@ -42,7 +42,7 @@
     const struct cw_bundle_doc *doc = bundle->doc;
 
     if (g_hash_table_size(bundle->dcs) != doc->dcs_count) {
-        add_problem(problems, "dcs: a name is used twice");
+        add_problem(problems, "dcs: a name stands twice");
     }
     for (unsigned i = 0; i < doc->dcs_count; i++) {
         if (!is_plain_name(doc->dcs[i].name)) {
@@ -57,7 +57,7 @@
     const struct cw_bundle_doc *doc = bundle->doc;
 
     if (g_hash_table_size(bundle->workers) != doc->workers_count) {
-        add_problem(problems, "workers: a name is used twice");
+        add_problem(problems, "workers: a name stands twice");
     }
     for (unsigned i = 0; i < doc->workers_count; i++) {
         const struct cw_worker_def *worker = &doc->workers[i];
@@ -121,7 +121,7 @@
     const struct cw_bundle_doc *doc = bundle->doc;
 
     if (g_hash_table_size(bundle->accounts) != doc->accounts_count) {
-        add_problem(problems, "accounts: a name is used twice");
+        add_problem(problems, "accounts: a name stands twice");
     }
     for (unsigned i = 0; i < doc->accounts_count; i++) {
         const struct cw_account_def *account = &doc->accounts[i];
@@ -152,7 +152,7 @@
         }
         for (unsigned k = 0; k < i; k++) {
             if (strcmp(doc->operators[k].name, op->name) == 0) {
-                add_problem(problems, "operators: \"%s\" is used twice",
+                add_problem(problems, "operators: \"%s\" stands twice",
                             op->name);
             }
         }
@@ -161,7 +161,7 @@
     if (signers < cw_bundle_policy(bundle).signatures) {
         add_problem(
             problems,
-            "policy.signatures: %u required but only %u operators can sign",
+            "policy.signatures: %u needed but only %u operators can sign",
             cw_bundle_policy(bundle).signatures, signers);
     }
 }
--- a/src/bundle/bundle_diff.c
+++ b/src/bundle/bundle_diff.c
@@ -30,8 +30,8 @@
         if (!cw_bundle_account_permits_dc(after, before->dcs[i])) {
             g_string_append_printf(
                 out,
-                "account %s: %s no longer permitted; its jobs there "
-                "stop or move\n",
+                "account %s: %s no longer permitted; its work there "
+                "stops or moves\n",
                 after->name, before->dcs[i]);
         }
         diff_number(out, "account", after->name, before->dcs[i],
--- a/src/bundle/bundle_plan.c
+++ b/src/bundle/bundle_plan.c
@@ -199,7 +199,7 @@
             g_string_append_printf(
                 problems,
                 "accounts \"%s\".guarantees: %u accelerators in \"%s\" cannot "
-                "be held together with the other guarantees\n",
+                "be held beside the other guarantees\n",
                 failed->account, failed->size, dc);
         }
         g_array_unref(plan);
--- a/src/bundle/chain.c
+++ b/src/bundle/chain.c
@@ -249,7 +249,7 @@
     const void *text;
 
     if (record->format != RECORD_FORMAT) {
-        add_problem(problems, "unknown record format");
+        add_problem(problems, "unknown format of the record");
         return CW_DROP_BUNDLE;
     }
     if (record->number <= cw_chain_current_number(chain)) {
@@ -260,13 +260,13 @@
         !seal_is_valid(chain, record))
     {
         add_problem(problems,
-                    "not based on the version in force, or without enough "
+                    "it does not follow the version in force, or lacks "
                     "signatures of operators listed there");
         return CW_DROP_BUNDLE;
     }
     content = cw_chain_decode_content(record, chain->current);
     if (content == NULL) {
-        add_problem(problems, "the content cannot be decoded");
+        add_problem(problems, "its content does not decode");
         return CW_DROP_BUNDLE;
     }
     text = g_bytes_get_data(content, &size);
--- a/src/owner/owner_view.c
+++ b/src/owner/owner_view.c
@@ -84,9 +84,9 @@
     if (owner_step_waiting_tasks(step) > 0 &&
         !owner_at_most_once_may_start(owner, step))
     {
-        g_string_append(out, "  it must not be started twice, so it cannot "
-                             "be preempted: it waits until starting it "
-                             "leaves every guarantee reclaimable\n");
+        g_string_append(out, "  it must not be begun twice, so it cannot "
+                             "give way: it waits until that leaves every "
+                             "guarantee reclaimable\n");
     }
     if (step->suspects > 0) {
         g_string_append_printf(
@@ -95,8 +95,7 @@
             "started apart%s\n",
             step->suspects,
             owner_step_is_delayed(step, now)
-                ? ", and delayed until it is known whether their last "
-                  "worker has crashed"
+                ? ", and wait for word of the last worker"
                 : "");
     }
 }
@@ -118,8 +117,8 @@
     }
     if (cordoned > 0) {
         g_string_append_printf(out,
-                               "%u of %u workers are in data centres that "
-                               "accept no new work\n",
+                               "%u of %u workers stand in data centres that "
+                               "take no new work\n",
                                cordoned, listed);
     }
 }
@@ -139,7 +138,7 @@
     g_string_append_printf(
         out,
         "%s for %.1f s, priority %u, account %s (%s its guarantee)\n"
-        "%u jobs of at least its priority wait before it\n",
+        "%u jobs that are as urgent wait before it\n",
         job->started ? "running" : "waiting",
         (double)cw_time_diff_ms(job->known_at, now) / CW_MS_PER_S,
         job->spec->priority, job->spec->account,
