--- a/include/curlewcart/cw_api.h
+++ b/include/curlewcart/cw_api.h
@@ -1,7 +1,7 @@
 /* The project's own interface over HTTP and JSON: requests of client accounts,
  * and operators' queries and signed configuration (docs/API.md).
  *
- * The configuration consists of signed bundles, which are kept in the store.
+ * The configuration consists of signed bundles, which the store holds.
  */
 #ifndef CURLEWCART_CW_API_H
 #define CURLEWCART_CW_API_H
@@ -43,16 +43,16 @@
  * Acquires the engine's lock. */
 void cw_api_handle(void *api, struct cw_http_call *call);
 
-/* Answers calls whose outcome is known or whose time is over, and reads
- * bundles.  Returns the time at which to call it again.  Called with the
- * engine's lock held. */
+/* Answers calls whose outcome is known or whose deadline has passed, and reads
+ * bundles.  Returns the time at which this function must be called again.
+ * Called with the engine's lock held. */
 struct timespec cw_api_tick(struct cw_api *api, struct timespec now);
 
 /* Number of calls that wait for an outcome. */
 unsigned cw_api_waiting_calls(struct cw_api *api);
 
 /* Answers all waiting calls now, as pending unless their outcome is known.
- * Called when the VM stops. */
+ * Called when the VM shuts down. */
 void cw_api_answer_all_pending(struct cw_api *api);
 
 #endif
--- a/include/curlewcart/cw_bundle.h
+++ b/include/curlewcart/cw_bundle.h
@@ -38,7 +38,7 @@
 struct cw_guarantee_def {
     char *dc;
     unsigned accelerators;
-    unsigned rack_block; /* they come in blocks of this size within one rack;
+    unsigned rack_block; /* reserved in blocks of this size within one rack;
                             0: anywhere in the data centre */
 };
 
@@ -118,9 +118,9 @@
 unsigned cw_bundle_account_guarantee(const struct cw_account_def *account,
                                      const char *dc);
 
-/* CW_OK if the job would fit if all workers were idle, in the data centres
- * that the job and its account permit; else the refusal that names what is
- * missing. */
+/* Returns CW_OK if the job would fit with all workers idle, in the data
+ * centres that the job and its account permit; otherwise the refusal that
+ * names the missing capacity or data centre. */
 enum cw_result cw_bundle_check_fit(const struct cw_bundle *bundle,
                                    const struct cw_work_spec *spec);
 
@@ -138,7 +138,7 @@
 void cw_bundle_diff(const struct cw_bundle *before,
                     const struct cw_bundle *after, GString *out);
 
-/* Accelerators of one rack that the plan sets aside for one account. */
+/* Accelerators of one rack that the plan reserves for one account. */
 struct cw_plan_share {
     const char *rack; /* borrowed from the bundle */
     const char *account;
@@ -148,8 +148,8 @@
 /* Assigns the guarantees in `dc` to racks.
  *
  * Returns an array of struct cw_plan_share (free with g_array_unref), or
- * NULL if the guarantees cannot all be held at once; then a line in `problems`
- * names the first account whose guarantee cannot. */
+ * NULL if the racks cannot hold all guarantees at the same time; then a line
+ * in `problems` names the first account whose guarantee does not fit. */
 GArray *cw_bundle_plan_guarantees(const struct cw_bundle *bundle,
                                   const char *dc, GString *problems);
 
--- a/include/curlewcart/cw_http_server.h
+++ b/include/curlewcart/cw_http_server.h
@@ -13,7 +13,7 @@
     const char *address; /* IP */
     uint16_t port;       /* 0: chosen by the kernel */
     unsigned threads;
-    unsigned connections;        /* limit at a time; others are closed */
+    unsigned connections;        /* limit; further ones are closed */
     unsigned idle_timeout_s;     /* idle connections are closed after this */
     size_t body_bytes_max;       /* larger bodies are discarded */
     const char *tls_certificate; /* PEM text, or NULL for plain HTTP */
@@ -35,7 +35,7 @@
  * must have been answered before. */
 void cw_http_server_free(struct cw_http_server *server);
 
-/* Makes every further answer ask the client to close its connection. */
+/* Makes every further answer request that the client close its connection. */
 void cw_http_server_disable_keepalive(struct cw_http_server *server);
 
 /* Stops listening.  Connections that clients have established stay open, also
--- a/include/curlewcart/cw_record.h
+++ b/include/curlewcart/cw_record.h
@@ -7,10 +7,10 @@
  * to a quarter of its size (with 40 tasks that have a checkpoint each), as a
  * new owner reads hundreds of records.
  *
- * The crashes that count against tasks, and the boot times of workers, come
+ * The crashes that tasks are suspected of, and the boot times of workers, come
  * last and are left out if there are none.  Such a record has the format of
- * versions that count no crashes, and a record of theirs is decoded with empty
- * lists. */
+ * versions that count no crashes, and a record written by such a version is
+ * decoded with empty lists. */
 #ifndef CURLEWCART_CW_RECORD_H
 #define CURLEWCART_CW_RECORD_H
 
--- a/include/curlewcart/cw_sanitize.h
+++ b/include/curlewcart/cw_sanitize.h
@@ -1,7 +1,7 @@
 /* Annotations that tell ThreadSanitizer about memory ordering.
  *
- * Concurrency Kit's operations are inline assembly, so the sanitizer does not
- * see that data written before a push happens before its use after the pop. */
+ * Concurrency Kit's operations are inline assembly, so the sanitizer cannot
+ * detect that a write before a push happens before the read after the pop. */
 #ifndef CURLEWCART_CW_SANITIZE_H
 #define CURLEWCART_CW_SANITIZE_H
 
--- a/include/curlewcart/cw_settings.h
+++ b/include/curlewcart/cw_settings.h
@@ -39,7 +39,7 @@
                                start there; 0: no limit */
 };
 
-/* The processor capacity of the VM: the product of both. */
+/* The processor capacity of the VM: the product of both members. */
 struct cw_settings_processor {
     double share; /* of one core; 0: unknown */
     double cores; /* speed of that core, in usual cores; 0: one */
@@ -74,9 +74,9 @@
  * a line; returns NULL if there is any.  Release with cw_settings_free. */
 struct cw_settings *cw_settings_load(const char *path, GString *problems);
 
-/* Reads the files that the `api` section names; problems as above.  Returns
- * NULL if there is any, or if there is no such section.  The result is never
- * freed. */
+/* Reads the files that the `api` section names.  Each problem is appended to
+ * `problems` as a line; returns NULL if there is any, or if there is no `api`
+ * section.  The result is never freed. */
 struct cw_settings_secrets *
 cw_settings_secrets(const struct cw_settings *settings, GString *problems);
 
--- a/include/curlewcart/cw_time.h
+++ b/include/curlewcart/cw_time.h
@@ -2,8 +2,9 @@
  *
  * Decision code never reads the system's clock directly: it gets the current
  * time with each event, or from a struct cw_clock that the program passed in.
- * Leases and timeouts use the monotonic clock; wall-clock time is only
- * recorded.
+ * Leases and timeouts use the monotonic clock.  Wall-clock time is used for
+ * timestamps in records and logs, and for ages and due times computed from
+ * them.
  */
 #ifndef CURLEWCART_CW_TIME_H
 #define CURLEWCART_CW_TIME_H
--- a/include/curlewcart/cw_yaml.h
+++ b/include/curlewcart/cw_yaml.h
@@ -12,7 +12,7 @@
                          const cyaml_schema_value_t *schema, void **out,
                          GString *problems);
 
-/* Frees what cw_yaml_load returned; `data` may be NULL. */
+/* Frees a value that cw_yaml_load loaded; `data` may be NULL. */
 void cw_yaml_free(const cyaml_schema_value_t *schema, void *data);
 
 #endif
--- a/src/api/api.c
+++ b/src/api/api.c
@@ -1,8 +1,8 @@
-/* Creation and ticks of the interface, and the check of waiting calls. */
+/* Creation and ticks of the interface, and the sweep through waiting calls. */
 #include "api/internal/api_private.h"
 
 enum {
-    /* Longest interval between checks of waiting calls for deadlines. */
+    /* Longest interval between sweeps, which check deadlines. */
     SWEEP_INTERVAL_MS = 50
 };
 
@@ -22,7 +22,7 @@
 struct sweep {
     struct cw_api *api;
     struct timespec now;
-    bool answer_all; /* the VM stops */
+    bool answer_all; /* the VM is shutting down */
 };
 
 /* Handles a call for a job that is not in the replica.  The job counts as
@@ -93,13 +93,13 @@
         return next;
     }
     /* An outcome becomes known only when the replica reads more records. */
-    if (position != api->checked_position ||
-        !cw_time_before(now, api->check_due)) {
-        api->checked_position = position;
-        api->check_due = cw_time_add_ms(now, SWEEP_INTERVAL_MS);
+    if (position != api->swept_position ||
+        !cw_time_before(now, api->sweep_due)) {
+        api->swept_position = position;
+        api->sweep_due = cw_time_add_ms(now, SWEEP_INTERVAL_MS);
         sweep_all(api, now, false);
     }
-    cw_time_set_earlier(&next, api->check_due);
+    cw_time_set_earlier(&next, api->sweep_due);
     return next;
 }
 
--- a/src/api/api_answer.c
+++ b/src/api/api_answer.c
@@ -123,7 +123,7 @@
                                       : cw_work_phase_name(phase);
 }
 
-/* Whether the job ran: true, false, or null if that is not known. */
+/* Returns whether the job ran: true, false, or null if that is unknown. */
 static json_t *
 ran_value(const char *outcome, const struct cw_work_record *record)
 {
--- a/src/api/api_bundle.c
+++ b/src/api/api_bundle.c
@@ -1,4 +1,4 @@
-/* Signed bundles, which operators offer and the store keeps.
+/* Signed bundles, which operators submit and the store holds.
  *
  * The store holds one record: the whole version in force, sealed with the
  * deployment's key by the VM that checked its signatures.  The VM appends it
@@ -44,7 +44,7 @@
         api->options.configured(api->options.context, routing);
         cw_routing_unref(routing);
     }
-    else if (result != CW_DROP_CONFLICT) { /* a conflict: read before */
+    else if (result != CW_DROP_CONFLICT) { /* another one came first */
         cw_count_code(api->options.counters, result);
         cw_log_error("config_invalid", "offset=%" PRIu64 " reason=\"%s\"",
                      offset, g_strdelimit(problems->str, "\n\"", ' '));
@@ -88,7 +88,7 @@
     api->bundles = cw_follower_create(&options);
 }
 
-/* ---- offering ---- */
+/* ---- submission ---- */
 
 static void
 on_appended(void *context, const struct cw_store_append_result *result)
@@ -157,7 +157,7 @@
 }
 
 static bool
-decode_offer(struct cw_http_call *call, struct cw_bundle_rec *record)
+decode_submission(struct cw_http_call *call, struct cw_bundle_rec *record)
 {
     size_t length;
     const char *body = cw_http_call_body(call, &length);
@@ -178,16 +178,16 @@
     return ok;
 }
 
-/* Handles an operator's record.  The operator's client polls GET /v1/bundle to
- * find out whether the record came into force. */
+/* Handles a signed bundle record.  The operator's client polls GET /v1/bundle
+ * to find out whether the record came into force. */
 void
-api_bundle_offer(struct cw_api *api, struct cw_http_call *call)
+api_bundle_submit(struct cw_api *api, struct cw_http_call *call)
 {
     GString *problems = g_string_new(NULL);
     struct cw_bundle_rec record;
     enum cw_result result;
 
-    if (!decode_offer(call, &record)) {
+    if (!decode_submission(call, &record)) {
         api_answer_refused(call, NULL, CW_REF_MALFORMED,
                            "expected a signed bundle record", 0);
         goto done;
--- a/src/api/api_jobs.c
+++ b/src/api/api_jobs.c
@@ -122,7 +122,8 @@
     }
 }
 
-/* Checks limits and whether the job can ever fit; CW_OK or the refusal. */
+/* Checks limits and whether the job can ever fit.  Returns CW_OK or the
+ * refusal. */
 static enum cw_result
 check_admission(struct cw_api *api, struct cw_work_spec *spec)
 {
@@ -221,7 +222,7 @@
         answer_or_wait(context);
     }
     else if (result == CW_E_NOT_FOUND) {
-        /* Another VM may have accepted the job a moment ago. */
+        /* Another VM may have accepted the job since the last read. */
         cw_follower_read_now(cw_replica_follower(api->options.replica));
         wait_for_outcome(context, requested_wait_ms(call));
         job_call_free(context);
@@ -237,7 +238,7 @@
     struct job_call *context = data;
 
     if (outcome == CW_ENTRY_STORED || outcome == CW_ENTRY_NO_JOB) {
-        /* The job may have ended before, or may not exist. */
+        /* The job may have ended already, or may not exist. */
         wait_for_outcome(context, requested_wait_ms(context->call));
         job_call_free(context);
         return;
--- a/src/api/api_ops.c
+++ b/src/api/api_ops.c
@@ -95,7 +95,7 @@
 
 /* ---- explain ---- */
 
-/* The job named "account/id", or NULL. */
+/* Returns the job named "account/id", or NULL. */
 static const struct cw_replica_job *
 find_named(const struct cw_api *api, const char *key)
 {
--- a/src/api/api_routes.c
+++ b/src/api/api_routes.c
@@ -101,7 +101,7 @@
     {"GET", "/v1/workers", api_workers},
     {"GET", "/v1/accounts", api_accounts},
     {"GET", "/v1/bundle", api_bundle_show},
-    {"POST", "/v1/bundle", api_bundle_offer},
+    {"POST", "/v1/bundle", api_bundle_submit},
     {"GET", "/v1/explain", api_explain},
     {"GET", "/v1/audit", api_audit},
     {"GET", "/metrics", api_metrics},
--- a/src/api/internal/api_private.h
+++ b/src/api/internal/api_private.h
@@ -1,4 +1,4 @@
-/* Declarations that the parts of the project's own interface share. */
+/* Declarations that the files of the project's own interface share. */
 #ifndef API_INTERNAL_API_PRIVATE_H
 #define API_INTERNAL_API_PRIVATE_H
 
@@ -27,9 +27,9 @@
     struct cw_chain *chain; /* under the engine's lock */
     struct cw_follower *bundles;
     struct api_waiters *waiters;
-    /* The replica's position at the last check of waiting calls. */
-    uint64_t checked_position;
-    struct timespec check_due;
+    /* The replica's position at the last sweep through the waiting calls. */
+    uint64_t swept_position;
+    struct timespec sweep_due; /* sweep at this time at the latest */
 };
 
 /* ---- api_bundle.c ---- */
@@ -43,7 +43,7 @@
 /* Answers with the bundle in force. */
 void api_bundle_show(struct cw_api *api, struct cw_http_call *call);
 /* Handles a signed bundle record: checks it and appends it to the store. */
-void api_bundle_offer(struct cw_api *api, struct cw_http_call *call);
+void api_bundle_submit(struct cw_api *api, struct cw_http_call *call);
 
 /* ---- api_jobs.c: callers' routes; `account` has been authenticated ---- */
 
@@ -63,7 +63,7 @@
 void api_health(struct cw_api *api, struct cw_http_call *call);
 /* /v1/status: state of this VM. */
 void api_status(struct cw_api *api, struct cw_http_call *call);
-/* /v1/workers: the workers that this VM knows as the owner. */
+/* /v1/workers: the workers that this VM schedules work on as the owner. */
 void api_workers(struct cw_api *api, struct cw_http_call *call);
 /* /v1/accounts: accounts and their guarantees. */
 void api_accounts(struct cw_api *api, struct cw_http_call *call);
@@ -81,7 +81,8 @@
                      bool close);
 
 /* Answers with a refusal.  `request` is the caller's id, or NULL; `detail`
- * NULL: the text of the code. */
+ * NULL: the text of the code.  `retry_ms` 0: the answer names no delay for a
+ * retry. */
 void
 api_answer_refused(struct cw_http_call *call, const char *request,
                    enum cw_result code, const char *detail, unsigned retry_ms);
--- a/src/base/cw_log.c
+++ b/src/base/cw_log.c
@@ -133,7 +133,7 @@
         line, LINE_BYTES_MAX + 1, "ts=%s.%03ldZ level=%s vm=%s %s", timestamp,
         now.tv_nsec / CW_NS_PER_MS, level_name(level), vm_name, message);
     length = MIN(length, LINE_BYTES_MAX);
-    /* Text from outside must not be able to start a line. */
+    /* External text must not be able to start a new line. */
     for (int i = 0; i < length; i++) {
         if ((unsigned char)line[i] < ' ' || line[i] == 0x7f) {
             line[i] = '?';
--- a/src/base/cw_time.c
+++ b/src/base/cw_time.c
@@ -7,8 +7,9 @@
     struct timespec now;
 
     (void)clock;
-    /* Includes the time for which the machine was suspended.  CLOCK_MONOTONIC
-     * does not: a VM that resumes would take expired leases for valid. */
+    /* CLOCK_BOOTTIME includes the time for which the machine was suspended.
+     * With CLOCK_MONOTONIC, which does not, a VM that resumes would treat
+     * expired leases as valid. */
     clock_gettime(CLOCK_BOOTTIME, &now);
     return now;
 }
--- a/src/bundle/bundle.c
+++ b/src/bundle/bundle.c
@@ -1,4 +1,5 @@
-/* Configuration bundles: parsing, lookups and what is derived from them. */
+/* Configuration bundles: parsing, lookups, the check whether a job can ever
+ * run, and routing data. */
 #include "curlewcart/cw_bundle.h"
 
 #include <string.h>
@@ -10,7 +11,7 @@
 #include "curlewcart/cw_yaml.h"
 
 enum {
-    DEFAULT_SIGNATURES = 1,
+    DEFAULT_SIGNATURES_REQUIRED = 1,
     DEFAULT_MAX_WAITING = 20000,
     DEFAULT_MAX_ATTEMPTS = 4,
     MILLI_PER_CORE = 1000
@@ -28,7 +29,7 @@
     struct cw_policy_def policy = bundle->doc->policy;
 
     policy.signatures =
-        value_or_default(policy.signatures, DEFAULT_SIGNATURES);
+        value_or_default(policy.signatures, DEFAULT_SIGNATURES_REQUIRED);
     policy.max_waiting =
         value_or_default(policy.max_waiting, DEFAULT_MAX_WAITING);
     policy.max_attempts =
--- a/src/bundle/bundle_plan.c
+++ b/src/bundle/bundle_plan.c
@@ -1,4 +1,4 @@
-/* The plan of guarantees: how many accelerators of each rack are set aside
+/* The plan of guarantees: how many accelerators of each rack are reserved
  * for which account.
  *
  * The plan depends on the bundle only, so that every VM computes the same
--- a/src/bundle/chain.c
+++ b/src/bundle/chain.c
@@ -131,7 +131,7 @@
 
 /* Hex public key of an operator: from the bundle in force, which the record
  * changes, or from the settings if there is none yet.  NULL if the operator
- * isn't listed there or is revoked. */
+ * is not listed in that source or is revoked. */
 static const char *
 signer_key(const struct cw_chain *chain, const char *name)
 {
--- a/src/bundle/internal/bundle_check.h
+++ b/src/bundle/internal/bundle_check.h
@@ -6,8 +6,8 @@
 
 #include "curlewcart/cw_bundle.h"
 
-/* True if the document is consistent and all guarantees can be held together.
- * Adds a line to `problems` for each fault found. */
+/* True if the document is consistent and the racks can hold all guarantees at
+ * the same time.  Adds a line to `problems` for each fault found. */
 bool cw_bundle_check(const struct cw_bundle *bundle, GString *problems);
 
 #endif
--- a/src/cli/cli.c
+++ b/src/cli/cli.c
@@ -1,4 +1,5 @@
-/* The curlewcart program: its first words name a command. */
+/* The curlewcart program: runs the command that the first words of the command
+ * line name. */
 #include <argp.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -161,7 +162,8 @@
         return parse_argument(cli, value, state);
     case ARGP_KEY_END:
         if (cli->args_count < cli->command->min_args) {
-            argp_error(state, "missing argument: %s", cli->command->args);
+            argp_error(state, "missing argument: %s",
+                       cli->command->args_usage);
         }
         break;
     default:
@@ -177,7 +179,7 @@
                  "A scheduler for multi-accelerator jobs under client "
                  "account guarantees.\n\nCommands:\n");
     for (const struct cli_command *c = cli_commands; c->name != NULL; c++) {
-        fprintf(out, "  %-16s %-14s %s\n", c->name, c->args, c->summary);
+        fprintf(out, "  %-16s %-14s %s\n", c->name, c->args_usage, c->summary);
     }
     fprintf(out, "\n'curlewcart COMMAND --help' lists a command's "
                  "options; --version prints the version.\n");
@@ -214,9 +216,13 @@
 static int
 run_command(struct cli *cli, int argc, char **argv)
 {
-    struct argp argp = {
-        options, parse_option, cli->command->args, cli->command->summary, NULL,
-        NULL,    NULL};
+    struct argp argp = {options,
+                        parse_option,
+                        cli->command->args_usage,
+                        cli->command->summary,
+                        NULL,
+                        NULL,
+                        NULL};
     char *name = g_strdup_printf("curlewcart %s", cli->command->name);
     int status;
 
--- a/src/cli/cli_bundle.c
+++ b/src/cli/cli_bundle.c
@@ -303,7 +303,7 @@
     struct cw_bundle *current = NULL;
 
     for (int waited = 0; waited < WAIT_MAX_MS; waited += POLL_INTERVAL_MS) {
-        bool ours;
+        bool is_accepted;
 
         cw_bundle_unref(current);
         if (fetch_current(cli, &current) != EXIT_OK || current == NULL ||
@@ -312,9 +312,10 @@
             sleep_poll_interval();
             continue;
         }
-        ours = current->number == record->number &&
-               memcmp(current->hash, record->content_hash, CW_HASH_BYTES) == 0;
-        if (ours) {
+        is_accepted =
+            current->number == record->number &&
+            memcmp(current->hash, record->content_hash, CW_HASH_BYTES) == 0;
+        if (is_accepted) {
             printf("accepted: version %u is in force\n", record->number);
         }
         else {
@@ -323,7 +324,7 @@
                    current->number);
         }
         cw_bundle_unref(current);
-        return ours ? EXIT_OK : EXIT_CONFLICT;
+        return is_accepted ? EXIT_OK : EXIT_CONFLICT;
     }
     printf("no verdict yet: signatures may be missing or the log unavailable; "
            "it is safe to accept it again\n");
--- a/src/cli/cli_jobs.c
+++ b/src/cli/cli_jobs.c
@@ -90,8 +90,7 @@
             fprintf(stderr, "\r%s: waiting, %u s", id, waited / 1000);
         }
         if (status == 503 && waited < wait_ms) {
-            g_usleep(RETRY_MS *
-                     1000UL); /* this VM doesn't know the state now */
+            g_usleep(RETRY_MS * 1000UL); /* this VM has no current state */
         }
     } while ((status == 202 || status == 503) && waited < wait_ms);
     if (show && waited > WAIT_STEP_MS) {
--- a/src/cli/internal/cli_private.h
+++ b/src/cli/internal/cli_private.h
@@ -1,4 +1,4 @@
-/* The command line's commands and what they share. */
+/* Declarations that the files of the command-line program share. */
 #ifndef CLI_INTERNAL_CLI_PRIVATE_H
 #define CLI_INTERNAL_CLI_PRIVATE_H
 
@@ -43,7 +43,7 @@
 /* A command.  Its name may have several words, such as "bundle check". */
 struct cli_command {
     const char *name;
-    const char *args; /* as in the usage line */
+    const char *args_usage; /* arguments as shown in the usage line */
     const char *summary;
     unsigned min_args;
     unsigned max_args;
--- a/src/http/http_client.c
+++ b/src/http/http_client.c
@@ -2,9 +2,10 @@
  * lock-free stack.
  *
  * libcurl looks up an open connection by its host in a hash table of 97
- * buckets, which are lists.  With 1,120 workers the search took 7.6% of an
- * owner's time, three times as much as with 400.  Hosts are therefore spread
- * over several multi handles, the lanes, each with its own table. */
+ * buckets, which are lists.  With a single table and 1,120 workers, the lookup
+ * takes 7.6% of an owner's time, three times as much as with 400 workers.
+ * Hosts are therefore spread over several multi handles, the lanes, each with
+ * its own table. */
 #include "curlewcart/cw_http_client.h"
 
 #include <pthread.h>
@@ -22,7 +23,8 @@
 enum {
     CONNECT_TIMEOUT_MS = 1000,
     POLL_MAX_MS = 1000,
-    /* With 3,000 workers a bucket then holds one host on average. */
+    /* With 3,000 workers a bucket of a lane's table holds one host on
+     * average. */
     LANES = 32,
     /* Hosts are not spread evenly, so a lane may keep 4/3 of its share of the
      * connections. */
@@ -72,7 +74,8 @@
     GPtrArray *idle;       /* CURL easy handles for reuse */
     GHashTable *in_flight; /* set of struct transfer in flight */
     /* HOST:PORT -> struct timespec: when a request on a reused connection last
-     * timed out.  Other connections made before may be dead, too. */
+     * timed out.  The host's other connections made before that may be
+     * stale, too. */
     GHashTable *suspects;
 };
 
@@ -135,7 +138,7 @@
     curl_easy_setopt(easy, CURLOPT_HTTPHEADER, transfer->headers);
 }
 
-/* ---- connections that may be dead ---- */
+/* ---- connections that may be stale ---- */
 
 /* HOST:PORT of a URL.  Owned by the caller. */
 static char *
@@ -155,9 +158,9 @@
            LIBCURL_IDLE_MAX_S * CW_MS_PER_S;
 }
 
-/* Called after a timeout.  If the request used a connection that was open
- * before, the host's other open connections are not reused either, as each
- * could cost one more timeout. */
+/* Handles a timeout.  If the request used a connection that was open before,
+ * the host's other open connections are not reused either, as each could cost
+ * one more timeout. */
 static void
 suspect_host(struct cw_http_client *client, const struct transfer *transfer)
 {
@@ -184,7 +187,7 @@
     struct timespec now = cw_clock_now(cw_clock_system());
     char *host;
     const struct timespec *since;
-    int64_t passed_s;
+    int64_t elapsed_s;
 
     if (g_hash_table_size(client->suspects) == 0) {
         return;
@@ -196,13 +199,13 @@
         return;
     }
     /* libcurl measures ages in whole seconds, and 0 means any age. */
-    passed_s = cw_time_diff_ms(*since, now) / CW_MS_PER_S;
-    if (passed_s < 1) {
+    elapsed_s = cw_time_diff_ms(*since, now) / CW_MS_PER_S;
+    if (elapsed_s < 1) {
         curl_easy_setopt(transfer->easy, CURLOPT_FRESH_CONNECT, 1L);
     }
-    else if (passed_s <= LIBCURL_IDLE_MAX_S) {
+    else if (elapsed_s <= LIBCURL_IDLE_MAX_S) {
         curl_easy_setopt(transfer->easy, CURLOPT_MAXLIFETIME_CONN,
-                         (long)passed_s);
+                         (long)elapsed_s);
     }
 }
 
@@ -287,7 +290,8 @@
     else {
         long request_bytes = 0;
 
-        /* It is 0 also if the time was over before a connection was made. */
+        /* CURLINFO_REQUEST_SIZE is also 0 if the timeout expired before a
+         * connection was established. */
         curl_easy_getinfo(transfer->easy, CURLINFO_REQUEST_SIZE,
                           &request_bytes);
         result.unsent = request_bytes == 0;
@@ -385,9 +389,9 @@
     return 0;
 }
 
-/* Calls libcurl for timers that have expired, by which it begins transfers and
- * ends late ones.  Returns the time in milliseconds until the next timer, at
- * most `wait_ms`. */
+/* Calls libcurl for timers that have expired; libcurl then starts transfers
+ * or times them out.  Returns the time in milliseconds until the next timer,
+ * at most `wait_ms`. */
 static unsigned
 run_timers(struct cw_http_client *client, unsigned wait_ms)
 {
--- a/src/log_analysis/log_analysis.c
+++ b/src/log_analysis/log_analysis.c
@@ -20,7 +20,8 @@
     char *event;
     char *rest;         /* from the event to the end of the line */
     GHashTable *fields; /* key -> value */
-    guint order;        /* as added; sorts lines with equal timestamps */
+    guint order;        /* in which lines were added; sorts lines with equal
+                           timestamps */
 };
 
 struct cw_log_analysis {
@@ -192,12 +193,12 @@
 
 /* ---- cause of a request's outcome ---- */
 
-/* The log lines of a request that its outcome and its delay depend on. */
+/* The log lines that explain a request's outcome and its delay. */
 struct request {
     const struct line *first;
     const struct line *refused; /* last submission that was not stored */
     const struct line *stored;
-    const struct line *taken; /* by its first owner */
+    const struct line *taken; /* first job_taken line, by the first owner */
     const struct line *ended;
     const struct line *placed;
     const struct line *started;
@@ -329,7 +330,7 @@
             placed_ms);
     }
     else if (request->reserved != NULL) {
-        g_string_append(out, "cause: others had to leave its place first\n");
+        g_string_append(out, "cause: other runs had to be stopped first\n");
     }
     else {
         g_string_append(out, "cause: its work took this long; it was started "
--- a/src/vm/vm.c
+++ b/src/vm/vm.c
@@ -25,20 +25,20 @@
     MEMBER_TTL_PERCENT = 130,
     PERCENT = 100,
     MILLI = 1000,
-    /* Time for which a leaving VM still serves: the load balancer checks
-     * every second and removes a VM after two failed checks. */
-    LEAVE_MIN_MS = 2600,
+    /* Time for which a VM that shuts down still serves: the load balancer
+     * checks every second and removes a VM after two failed checks. */
+    SHUTDOWN_MIN_MS = 2600,
     /* Part of the grace period that is left over before SIGKILL. */
-    LEAVE_RESERVE_MS = 900,
-    LEAVE_POLL_MS = 10,
+    SHUTDOWN_RESERVE_MS = 900,
+    SHUTDOWN_POLL_MS = 10,
     /* Part of the reserve that may be used to send the last answers. */
-    LEAVE_FLUSH_MS = 300,
-    /* Descriptors that the platform says are not available for sockets. */
+    SHUTDOWN_FLUSH_MS = 300,
+    /* Descriptors that the platform specifies as unavailable for sockets. */
     RESERVED_DESCRIPTORS = 200,
     /* Share of the other descriptors for connections to workers and the
      * store; callers' connections get the rest. */
-    CLIENT_EIGHTHS = 7,
-    EIGHTHS = 8,
+    CLIENT_SHARE_NUMERATOR = 7,
+    CLIENT_SHARE_DENOMINATOR = 8,
     /* Ended jobs are kept for longer than the platform requires, so that
      * repeated calls still find them. */
     RETAIN_EXTRA_S = 60
@@ -243,8 +243,8 @@
     if (settings->descriptors <= RESERVED_DESCRIPTORS) {
         return CW_HTTP_POOL_CONNECTIONS_DEFAULT;
     }
-    return (settings->descriptors - RESERVED_DESCRIPTORS) * CLIENT_EIGHTHS /
-           EIGHTHS;
+    return (settings->descriptors - RESERVED_DESCRIPTORS) *
+           CLIENT_SHARE_NUMERATOR / CLIENT_SHARE_DENOMINATOR;
 }
 
 static void
@@ -411,7 +411,7 @@
 }
 
 static unsigned
-pending_calls(struct cw_vm *vm)
+count_pending_calls(struct cw_vm *vm)
 {
     unsigned count;
 
@@ -430,21 +430,21 @@
 finish_calls(struct cw_vm *vm, struct timespec began_at, int64_t max_ms)
 {
     while (cw_time_diff_ms(began_at, cw_clock_now(vm->clock)) < max_ms &&
-           (pending_calls(vm) > 0 ||
+           (count_pending_calls(vm) > 0 ||
             cw_http_server_active_calls(vm->callers) > 0))
     {
-        sleep_ms(LEAVE_POLL_MS);
+        sleep_ms(SHUTDOWN_POLL_MS);
     }
 }
 
-/* Gives up the shard at once, serves until the load balancer has removed the
+/* Releases the shard at once, serves until the load balancer has removed the
  * VM, and then until all accepted calls are answered. */
 static void
-leave(struct cw_vm *vm)
+shut_down(struct cw_vm *vm)
 {
     struct timespec began_at = cw_clock_now(vm->clock);
-    int64_t max_ms =
-        (int64_t)vm->settings->bounds.grace_s * CW_MS_PER_S - LEAVE_RESERVE_MS;
+    int64_t max_ms = (int64_t)vm->settings->bounds.grace_s * CW_MS_PER_S -
+                     SHUTDOWN_RESERVE_MS;
 
     pthread_mutex_lock(&vm->engine_lock);
     cw_entry_begin_shutdown(vm->entry);
@@ -452,8 +452,8 @@
     pthread_mutex_unlock(&vm->engine_lock);
     cw_http_client_wake(vm->client);
     cw_http_server_disable_keepalive(vm->callers);
-    cw_log_info("leaving", "pending=%u", pending_calls(vm));
-    sleep_ms((unsigned)MIN(LEAVE_MIN_MS, max_ms));
+    cw_log_info("leaving", "pending=%u", count_pending_calls(vm));
+    sleep_ms((unsigned)MIN(SHUTDOWN_MIN_MS, max_ms));
     /* Stops listening before the pending calls are counted for the last time:
      * a call accepted after that would be cut off. */
     cw_http_server_quiesce(vm->callers);
@@ -463,7 +463,7 @@
         cw_api_answer_all_pending(vm->api);
         pthread_mutex_unlock(&vm->engine_lock);
     }
-    finish_calls(vm, began_at, max_ms + LEAVE_FLUSH_MS);
+    finish_calls(vm, began_at, max_ms + SHUTDOWN_FLUSH_MS);
 }
 
 /* Logs and counts the contracts of the platform that this program does not
@@ -552,10 +552,10 @@
                 settings->dc, settings->store,
                 cw_http_server_port(vm->callers), settings->bounds.lease_ms);
     received = wait_for_termination(vm, &signals);
-    leave(vm);
+    shut_down(vm);
     cw_log_info("stopped", "signal=%d", received);
     cw_log_flush();
-    /* Nothing is freed: threads of the libraries may still use it.  The
+    /* No memory is freed: threads of the libraries may still use it.  The
      * process has no data left to write. */
     _exit(0);
 }
--- a/src/work/record.c
+++ b/src/work/record.c
@@ -37,7 +37,8 @@
     }
 }
 
-/* The record with its rest deflated, or NULL if that is not shorter. */
+/* Returns the record with its rest deflated, or NULL if that is not shorter.
+ */
 static GByteArray *
 deflate_rest(const GByteArray *plain)
 {
@@ -108,8 +109,8 @@
     return true;
 }
 
-/* The XDR form of a deflated record, or NULL if it is not valid.  Owned by
- * the caller. */
+/* Returns the XDR form of a deflated record, owned by the caller, or NULL if
+ * the record is not valid. */
 static GByteArray *
 inflate_rest(const guint8 *bytes, size_t length)
 {
@@ -138,7 +139,7 @@
     return plain;
 }
 
-/* Decodes the XDR form with or without the lists at its end. */
+/* Decodes the XDR form with or without the optional lists at its end. */
 static bool
 decode_xdr(GByteArray *plain, struct cw_work_record *record)
 {
--- a/src/work/request.c
+++ b/src/work/request.c
@@ -16,7 +16,7 @@
     CORES_MAX = 4096,
     MEMORY_MB_MAX = 16 * 1024 * 1024,
     ACCELERATORS_MAX = 256,
-    GANG_MAX = 256, /* size of the largest gangs in the users' requirements */
+    GANG_MAX = 256, /* the users require gangs of up to this size */
     DURATION_MS_MAX = 0x7fffffff,
     MILLI = 1000,
     /* Latency objectives, which order jobs of equal priority: twice the
@@ -153,7 +153,7 @@
         reader_fail(reader, "dcs", "a list of data centres");
         return;
     }
-    /* One more entry for `home`. */
+    /* One entry more than the list has, for `home`. */
     spec->dcs.dcs_val = calloc(json_array_size(list) + 1, sizeof(cw_name));
     g_assert(spec->dcs.dcs_val != NULL);
     json_array_foreach(list, i, item)
@@ -215,7 +215,8 @@
     return g_strv_contains((const gchar *const *)list, name);
 }
 
-/* Reports an error for a field that is in neither list; `more` may be NULL. */
+/* Reports an error for a field that is neither in `known` nor in `more`, which
+ * may be NULL. */
 static void
 check_fields(struct reader *reader, const char *const *known,
              const char *const *more)
--- a/tests/test_bundle.c
+++ b/tests/test_bundle.c
@@ -125,7 +125,7 @@
 }
 
 static void
-test_refusal_names_what_never_fits(void)
+test_refusal_names_missing_capacity(void)
 {
     struct cw_bundle *bundle = parse(
         DCS_AND_WORKERS "accounts:\n" ACCOUNT("a", "d0", "") OPERATORS, NULL);
@@ -203,7 +203,7 @@
      test_rejects_guarantees_that_exceed_capacity},
     {"routing has data centres and guarantees",
      test_routing_has_dcs_and_guarantees},
-    {"refusal names what never fits", test_refusal_names_what_never_fits},
+    {"refusal names missing capacity", test_refusal_names_missing_capacity},
     {"token is checked", test_token_is_checked},
     {"diff lists changes", test_diff_lists_changes},
 };
--- a/tests/test_http_server.c
+++ b/tests/test_http_server.c
@@ -1,5 +1,5 @@
-/* Tests of how an HTTP server stops: connections established before are
- * answered, later ones are refused. */
+/* Tests of the shutdown of an HTTP server: calls on connections established
+ * before it are answered, later connections are refused. */
 #include "test_main.h"
 
 #include <arpa/inet.h>
@@ -110,11 +110,11 @@
            g_str_has_suffix(text, "\r\n\r\ndone");
 }
 
-/* A listener that is closed resets the connections in its queue.  In 5 of 16
- * runs of `scripts/faults` this cut off calls that arrived while the VM
- * stopped. */
+/* Closing a listener resets the connections in its queue.  Unless the server
+ * accepts them first, calls that arrive while the VM shuts down are cut off,
+ * as in 5 of 16 runs of `scripts/faults`. */
 static void
-test_a_connection_made_before_the_end_is_answered(void)
+test_connection_made_before_shutdown_is_answered(void)
 {
     struct gate gate = {0};
     struct cw_http_server *server = serve(&gate);
@@ -134,7 +134,7 @@
 }
 
 static void
-test_calls_count_until_their_answer_is_sent(void)
+test_calls_are_counted_until_answer_is_sent(void)
 {
     struct gate gate = {0};
     struct cw_http_server *server = serve(&gate);
@@ -155,9 +155,9 @@
 }
 
 static const struct test tests[] = {
-    {"connections at the end",
-     test_a_connection_made_before_the_end_is_answered},
-    {"calls", test_calls_count_until_their_answer_is_sent},
+    {"connections at shutdown",
+     test_connection_made_before_shutdown_is_answered},
+    {"calls", test_calls_are_counted_until_answer_is_sent},
 };
 
 TEST_MAIN("http_server", tests)
--- a/tests/test_log_analysis.c
+++ b/tests/test_log_analysis.c
@@ -103,7 +103,7 @@
         AT("0.030") "event=placed id=a1 task=0.0.0 run=1 worker=w reserved=1",
         AT("5.000") "event=job_over id=a1 outcome=completed late_ms=10", NULL};
 
-    check_cause(lines, "cause: others had to leave its place first");
+    check_cause(lines, "cause: other runs had to be stopped first");
 }
 
 static void
@@ -163,4 +163,4 @@
     {"other requests", test_lines_of_other_requests_are_excluded},
 };
 
-TEST_MAIN("story", tests)
+TEST_MAIN("log_analysis", tests)
--- a/tests/test_record.c
+++ b/tests/test_record.c
@@ -91,21 +91,21 @@
 }
 
 static void
-test_crashes_are_kept_beside_the_old_form(void)
+test_crashes_are_encoded_after_the_earlier_format(void)
 {
     check_crashes(1);
     check_crashes(TASKS);
 }
 
 static void
-test_small_and_large_records_come_back(void)
+test_round_trip_of_small_and_large_records(void)
 {
     check_round_trip(1);
     check_round_trip(TASKS);
 }
 
 static void
-test_a_wide_job_takes_a_quarter_of_its_plain_form(void)
+test_wide_job_is_deflated_to_a_quarter(void)
 {
     struct sample sample;
     GByteArray *plain;
@@ -120,7 +120,7 @@
 }
 
 static void
-test_damaged_bytes_are_refused(void)
+test_damaged_bytes_are_rejected(void)
 {
     struct sample sample;
     struct cw_work_record out = {0};
@@ -139,10 +139,10 @@
 }
 
 static const struct test tests[] = {
-    {"crashes", test_crashes_are_kept_beside_the_old_form},
-    {"round trip", test_small_and_large_records_come_back},
-    {"size", test_a_wide_job_takes_a_quarter_of_its_plain_form},
-    {"damage", test_damaged_bytes_are_refused},
+    {"crashes", test_crashes_are_encoded_after_the_earlier_format},
+    {"round trip", test_round_trip_of_small_and_large_records},
+    {"size", test_wide_job_is_deflated_to_a_quarter},
+    {"damage", test_damaged_bytes_are_rejected},
 };
 
 TEST_MAIN("record", tests)
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -1,5 +1,5 @@
-/* Tests of the decoding of requests: which are accepted, and which are refused
- * with which code. */
+/* Tests of the decoding of requests: valid ones are accepted, invalid ones are
+ * refused with the code that names the error. */
 #include "test_main.h"
 
 #include <string.h>
@@ -40,7 +40,7 @@
 }
 
 static void
-test_once_only_is_the_default(void)
+test_at_most_once_is_the_default(void)
 {
     struct cw_work_spec *spec = NULL;
     char detail[256];
@@ -71,7 +71,7 @@
 }
 
 static void
-test_refuses_what_is_not_valid(void)
+test_refuses_invalid_requests(void)
 {
     static const char *const bad[] = {
         "",
@@ -165,9 +165,9 @@
     {"a gang adjacent on a worker becomes one task",
      test_a_gang_adjacent_on_a_worker_becomes_one_task},
     {"accepts a complete request", test_accepts_a_complete_request},
-    {"once only is the default", test_once_only_is_the_default},
+    {"at most once is the default", test_at_most_once_is_the_default},
     {"same request, same hash", test_same_request_same_hash},
-    {"refuses what is not valid", test_refuses_what_is_not_valid},
+    {"refuses invalid requests", test_refuses_invalid_requests},
     {"refuses too large", test_refuses_a_payload_that_is_too_large},
 };
 
--- a/tests/test_time.c
+++ b/tests/test_time.c
@@ -2,8 +2,8 @@
  *
  * When a suspended VM resumes, its leases and its confirmation of ownership
  * have expired.  CLOCK_MONOTONIC does not count suspended time: a VM that used
- * it would take them for valid, send orders to workers and give callers
- * outdated states of jobs.  CLOCK_BOOTTIME counts suspended time. */
+ * it would treat them as valid, send orders to workers and report outdated
+ * states of jobs to callers.  CLOCK_BOOTTIME counts suspended time. */
 #include "test_main.h"
 
 #include <sys/syscall.h>
