--- a/emulator/checker.c
+++ b/emulator/checker.c
@@ -5,25 +5,28 @@
 
 enum {
     CANCEL_EFFECT_MS = 3000,
-    /* A cordon that the store has acknowledged takes effect within this. */
-    CORDON_MS = 5000,
-    /* Crashes of workers that ran a task before the task may be given up. */
+    /* Maximum time from the store's acknowledgement of a cordon until it takes
+     * effect. */
+    CORDON_EFFECT_MAX_MS = 5000,
+    /* Minimum number of workers that crashed while they ran a task before the
+     * task may be given up. */
     CRASHES_TO_GIVE_UP = 2,
-    /* After so many crashes, a task that crashes workers may be started
+    /* Number of crashes after which a task that crashes workers may be started
      * again fewer than STARTS_AFTER_CRASHES_MAX times. */
     CRASHES_MAX = 3,
     STARTS_AFTER_CRASHES_MAX = 3,
-    /* Time that a job may have nothing running although it could. */
+    /* Maximum time for which a job that could run may have no run. */
     WAIT_MAX_MS = 3000,
-    /* Duration of a long task in multiples of the usual, and what mixes the
-     * task's step and index into the hash that selects it. */
+    /* Duration of a long task in multiples of the usual duration, and the
+     * factors that mix the task's step and index into the hash that selects
+     * long tasks. */
     LONG_TASK_FACTOR = 7,
     HASH_STEP_FACTOR = 31,
     HASH_INDEX_FACTOR = 7,
     PERCENT = 100
 };
 
-/* What workers have done with a task. */
+/* History of a task's runs on workers. */
 struct task_history {
     unsigned running; /* runs on workers now */
     unsigned done;    /* runs that ended as done */
@@ -32,10 +35,11 @@
     unsigned failed_confirmed;
     unsigned crashes;                 /* of workers that ran it */
     unsigned starts_past_crash_limit; /* after CRASHES_MAX crashes */
-    unsigned worked_run;     /* of an at-most-once job: the run that worked */
-    bool worked_over;        /* ... and whether it has ended, in any way */
-    unsigned present_run;    /* run that is on a worker now; 0: none */
-    GHashTable *failed_runs; /* unused */
+    /* Of an at-most-once job: the run that executed it. */
+    unsigned effective_run;
+    bool effective_run_ended; /* whether effective_run has ended, in any way */
+    unsigned current_run;     /* run that is on a worker now; 0: none */
+    GHashTable *failed_runs;  /* unused */
 };
 
 struct checker {
@@ -169,15 +173,16 @@
     return &job->spec->steps.steps_val[task->step];
 }
 
-/* True if the task is the one of its job that crashes workers. */
+/* True if this is the job's task that crashes workers. */
 static bool
 crashes_workers(const struct checker_job *job, const struct cw_task_name *task)
 {
     return task->step == 0 && (int)task->index == job->plan_crashing_task;
 }
 
-/* True if the task is long.  Derived from its name, so that all its runs are
- * alike and the day's other random numbers stay as they are. */
+/* True if the task is long.  Derived from the task's name, so that all its
+ * runs have the same duration and the day's other random numbers do not
+ * change. */
 static bool
 is_long(const struct checker_job *job, const struct cw_task_name *task)
 {
@@ -230,9 +235,9 @@
     return step->gang ? done > 0 : done == step->tasks;
 }
 
-/* True if the steps that the task's step comes after are done. */
+/* True if all steps that precede the task's step are done. */
 static bool
-earlier_done(struct checker *checker, const struct cw_task_name *task)
+preceding_steps_done(struct checker *checker, const struct cw_task_name *task)
 {
     const struct checker_job *job = checker_find_job(checker, task->job);
     const struct cw_step_spec *step = step_of(checker, task);
@@ -246,25 +251,25 @@
     return true;
 }
 
-/* True if the run works from now on: a gang works only once all its members
- * are on workers. */
+/* True if the run executes from now on: a gang executes only once all its
+ * members are on workers. */
 static bool
-works_now(struct checker *checker, const struct cw_task_name *task,
-          unsigned run)
+executes_now(struct checker *checker, const struct cw_task_name *task,
+             unsigned run)
 {
     const struct cw_step_spec *step = step_of(checker, task);
     struct cw_task_name name = *task;
 
     for (name.index = 0; step->gang && name.index < step->tasks; name.index++)
     {
-        if (history_of(checker, &name)->present_run != run) {
+        if (history_of(checker, &name)->current_run != run) {
             return false;
         }
     }
     return true;
 }
 
-/* Checks that an at-most-once job does not begin its work a second time. */
+/* Checks that an at-most-once job does not execute twice. */
 static void
 check_at_most_once(struct checker *checker, const struct cw_task_name *task,
                    unsigned run)
@@ -273,19 +278,19 @@
     struct cw_task_name first = *task;
     struct task_history *history;
 
-    if (!job->spec->once || !works_now(checker, task, run)) {
+    if (!job->spec->once || !executes_now(checker, task, run)) {
         return;
     }
     if (step_of(checker, task)->gang) {
         first.index = 0; /* its history counts for the gang */
     }
     history = history_of(checker, &first);
-    if (history->worked_over ||
-        (history->worked_run != 0 && history->worked_run != run))
+    if (history->effective_run_ended ||
+        (history->effective_run != 0 && history->effective_run != run))
     {
         violate_task(checker, "ONCE started a second time", task, run);
     }
-    history->worked_run = run;
+    history->effective_run = run;
 }
 
 void
@@ -301,7 +306,7 @@
                           const struct cw_task_name *task, unsigned run,
                           int64_t age_ms)
 {
-    if (age_ms > CORDON_MS) {
+    if (age_ms > CORDON_EFFECT_MAX_MS) {
         violate_task(checker, "CORDON started in a cordoned data centre", task,
                      run);
     }
@@ -325,7 +330,7 @@
         violate_task(checker, "TWICE after its confirmed end", task, run);
     }
     history->last_run = MAX(history->last_run, run);
-    history->present_run = run;
+    history->current_run = run;
     check_at_most_once(checker, task, run);
     if (history->failed_confirmed >= job->spec->max_attempts) {
         violate_task(checker, "BUDGET", task, run);
@@ -335,7 +340,7 @@
     {
         violate_task(checker, "BUDGET crashes", task, run);
     }
-    if (!earlier_done(checker, task)) {
+    if (!preceding_steps_done(checker, task)) {
         violate_task(checker, "ORDER", task, run);
     }
     if (calm && job->cancel_done && now_ms > job->cancel_ms + CANCEL_EFFECT_MS)
@@ -344,11 +349,11 @@
     }
 }
 
-/* Records that the run which worked has ended.  Without this, the same run
- * could be started a second time by a worker that has restarted. */
+/* Records the end of the run that executed an at-most-once job.  Otherwise a
+ * restarted worker could start the same run again without a violation. */
 static void
-mark_at_most_once_over(struct checker *checker,
-                       const struct cw_task_name *task, unsigned run)
+mark_at_most_once_ended(struct checker *checker,
+                        const struct cw_task_name *task, unsigned run)
 {
     struct cw_task_name first = *task;
     struct task_history *history;
@@ -357,7 +362,8 @@
         first.index = 0;
     }
     history = history_of(checker, &first);
-    history->worked_over = history->worked_over || history->worked_run == run;
+    history->effective_run_ended =
+        history->effective_run_ended || history->effective_run == run;
 }
 
 void
@@ -367,11 +373,11 @@
     struct task_history *history = history_of(checker, task);
 
     if (checker_find_job(checker, task->job)->spec->once) {
-        mark_at_most_once_over(checker, task, run);
+        mark_at_most_once_ended(checker, task, run);
     }
     history->running--;
     checker_find_job(checker, task->job)->running--;
-    history->present_run = 0;
+    history->current_run = 0;
     if (how == CW_END_KIND_DONE) {
         history->done++;
     }
@@ -412,8 +418,8 @@
     checker->counts.crashes++;
 }
 
-/* True if a task of the job has crashed workers so often that the job may be
- * given up. */
+/* True if a task of the job has crashed enough workers for the job to be given
+ * up. */
 static bool
 may_be_given_up(struct checker *checker, const struct checker_job *job)
 {
@@ -445,7 +451,7 @@
 }
 
 void
-checker_phase_shown(struct checker *checker, const char *id, unsigned phase)
+checker_phase_reported(struct checker *checker, const char *id, unsigned phase)
 {
     struct checker_job *job = checker_find_job(checker, id);
 
@@ -492,7 +498,8 @@
     }
     for (; name.step < job->spec->steps.steps_len; name.step++) {
         if (!step_done(checker, job, 0, name.step) &&
-            earlier_done(checker, &name)) {
+            preceding_steps_done(checker, &name))
+        {
             return &job->spec->steps.steps_val[name.step];
         }
     }
--- a/emulator/emulator_main.c
+++ b/emulator/emulator_main.c
@@ -17,7 +17,8 @@
     DEFAULT_DAYS = 1000,
     DEFAULT_THREADS = 8,
     PROGRESS_INTERVAL_DAYS = 100,
-    /* Size of the deployment that the second milestone asks for. */
+    /* Default size of the deployment: the size that the emulator is required
+     * to simulate. */
     DEFAULT_VMS = 30,
     DEFAULT_WORKERS = 350,
     DEFAULT_JOBS = 1000,
@@ -33,7 +34,7 @@
     unsigned seed;
     unsigned days;
     unsigned threads;
-    bool first; /* stop at the first violation */
+    bool stop_at_first; /* stop at the first violation */
     unsigned vms;
     unsigned workers;
     unsigned jobs;
@@ -65,8 +66,8 @@
      "Times that a worker's capacity shrinks for a while", 0},
     {"restarts", 'a', "N", 0,
      "Times that workers crash and restart under their ids", 0},
-    {"unguarded", 'u', NULL, 0, "Workers start what exceeds their capacity",
-     0},
+    {"unguarded", 'u', NULL, 0,
+     "Workers start tasks that exceed their capacity", 0},
     {"late", 'l', "N", 0,
      "Times that some workers answer late or reset connections", 0},
     {"cordons", 'o', "N", 0,
@@ -76,7 +77,7 @@
      "after",
      0},
     {"owner-losses", 'x', "N", 0,
-     "The same, with a VM that stays down for long", 0},
+     "Like --owner-kills, but the VM stays down for long", 0},
     {"calm", 'q', NULL, 0, "No random faults", 0},
     {"wide", 'b', NULL, 0,
      "Jobs and gangs larger than a rack, and more of them", 0},
@@ -96,7 +97,7 @@
         arguments->days = (unsigned)strtoul(value, NULL, 10);
         break;
     case 'f':
-        arguments->first = true;
+        arguments->stop_at_first = true;
         break;
     case 'j':
         arguments->threads = (unsigned)strtoul(value, NULL, 10);
@@ -160,7 +161,8 @@
     return 0;
 }
 
-/* The standard day of a seed, changed as the command line says. */
+/* The standard day of a seed, with the changes that the command line
+ * requests. */
 static struct world_options
 options_for_seed(const struct arguments *arguments, unsigned seed)
 {
@@ -190,7 +192,7 @@
 /* Shared by the threads of a fuzz command. */
 struct fuzz_state {
     const struct arguments *arguments;
-    unsigned next; /* day; atomic */
+    unsigned next_day; /* next day to simulate; atomic */
     unsigned violations;
     struct checker_counts counts;
     unsigned takeovers;
@@ -220,13 +222,13 @@
     bool show_progress = isatty(STDERR_FILENO) != 0;
 
     for (;;) {
-        unsigned day = ck_pr_faa_uint(&state->next, 1);
+        unsigned day = ck_pr_faa_uint(&state->next_day, 1);
         struct world_options world =
             options_for_seed(state->arguments, state->arguments->seed + day);
         struct world_result result;
 
         if (day >= state->arguments->days ||
-            (state->arguments->first &&
+            (state->arguments->stop_at_first &&
              ck_pr_load_uint(&state->violations) > 0))
         {
             return NULL;
@@ -306,13 +308,13 @@
 }
 
 /* Simulates one day of any size without faults and prints the processor time
- * that the product's code takes. */
+ * that the product's code uses. */
 static int
 run_size(const struct arguments *arguments)
 {
     struct world_options world = world_standard_day(arguments->seed);
     struct world_result result;
-    double began = wall_s();
+    double started_s = wall_s();
     double day_s;
     double took_s;
     int status;
@@ -322,7 +324,7 @@
     world.workers = arguments->workers;
     world.jobs = arguments->jobs;
     world_run(&world, &result);
-    took_s = wall_s() - began;
+    took_s = wall_s() - started_s;
     day_s = (double)(world.day_ms + world.quiet_ms) / CW_MS_PER_S;
     printf("vms=%u workers=%u jobs=%u completed=%u starts=%u "
            "busiest_percent=%.2f others_percent=%.3f times_its_clock=%.1f "
--- a/emulator/internal/world_private.h
+++ b/emulator/internal/world_private.h
@@ -1,4 +1,4 @@
-/* What the files of the simulation share. */
+/* Private declarations shared by the files of the simulation. */
 #ifndef CURLEWCART_EMULATOR_WORLD_PRIVATE_H
 #define CURLEWCART_EMULATOR_WORLD_PRIVATE_H
 
@@ -22,10 +22,10 @@
 struct world;
 struct vm;
 
-/* A callback that is due at a time. */
+/* A callback with its due time. */
 struct event {
     int64_t at_ms;
-    uint64_t order; /* in which events of the same time run */
+    uint64_t order; /* sequence number; orders events of the same time */
     void (*run)(struct world *world, void *context);
     void *context;
 };
@@ -41,7 +41,7 @@
     unsigned index;
     unsigned incarnation;
     bool alive;
-    bool leaving;
+    bool shutting_down;
     int64_t frozen_until_ms;
     int64_t cut_until_ms; /* disconnected from the store */
     int64_t due_ms;       /* of its next tick */
@@ -72,24 +72,26 @@
     GString *faults;
     int64_t disturbed_until_ms; /* faults or their effects last until then */
     int64_t faults_until_ms;    /* faults themselves last until then */
-    /* present state of the network */
+    /* current state of the network */
     int64_t store_down_until_ms;
-    bool store_busy; /* while it is down, it refuses calls at once */
+    bool store_busy; /* the store, while down, refuses calls at once; otherwise
+                        it does not answer */
     int64_t store_slow_until_ms;
     int64_t append_loss_until_ms;
     unsigned append_loss_percent;
-    bool append_loss_delayed;        /* lost appends are applied after seconds;
-                                        else at once, but not answered */
-    int64_t orders_delayed_until_ms; /* some orders arrive after seconds */
-    GHashTable *cut_workers;         /* id -> disconnected until, in ms */
-    GHashTable *late_workers;        /* id -> late until, in ms */
-    GHashTable *draining;            /* set of ids */
-    GHashTable *cordons;             /* data centre -> struct world_cordon */
-    int64_t delayed_orders_until_ms; /* delayed orders may arrive until
-                                        then */
+    bool append_loss_delayed; /* appends whose answer is lost are applied after
+                                 seconds; otherwise at once */
+    int64_t order_delay_fault_until_ms; /* until then, some orders arrive
+                                           seconds late */
+    GHashTable *cut_workers;            /* id -> disconnected until, in ms */
+    GHashTable *late_workers;           /* id -> late until, in ms */
+    GHashTable *draining;               /* set of ids */
+    GHashTable *cordons;           /* data centre -> struct world_cordon */
+    int64_t last_delayed_order_ms; /* latest time at which a delayed order may
+                                      arrive */
 };
 
-/* Writes the name of a rack's data centre; each rack is one. */
+/* Writes the name of a rack's data centre; each rack is a data centre. */
 void world_dc_of_rack(const char *rack, char *dc, size_t size);
 
 /* A request of a caller that waits for its answer. */
@@ -98,7 +100,7 @@
     struct vm *vm;
     struct checker_job *job;
     bool cancel;
-    unsigned tries;
+    unsigned attempts;
 };
 
 enum call_kind {
@@ -116,17 +118,17 @@
     struct vm *vm;
     enum call_kind kind;
     bool ended;    /* answered, or its VM was killed */
-    bool applied;  /* the store has carried it out */
+    bool applied;  /* the store has executed the call */
     unsigned refs; /* of events and functions that use it */
     int64_t timeout_at_ms;
-    int64_t wait_until_ms; /* a long poll: an answer without news waits until
-                              then */
+    int64_t wait_until_ms; /* long poll: an answer without new data is delayed
+                              until then */
     char *topic;
     char *writer;
     char *text;      /* the key `after`, the member, or the worker's id */
-    char *address;   /* of the worker that an order goes to */
-    int64_t boot_ms; /* of the incarnation that received the order; 0: none
-                        has yet */
+    char *address;   /* address of the worker that an order is sent to */
+    int64_t boot_ms; /* boot time of the incarnation that received the order;
+                        0: not received yet */
     GArray *records;
     GPtrArray *bytes;
     struct cw_store_append append;
@@ -156,7 +158,7 @@
 world_call_new(struct vm *vm, enum call_kind kind, unsigned timeout_ms);
 
 /* Answers the call unless it has ended: with its result if `status` is OK,
- * else with the status alone. */
+ * otherwise with the status only. */
 void world_call_answer(struct call *call, enum cw_store_status status);
 
 /* Drops a reference; the last one frees the call. */
@@ -175,7 +177,7 @@
 /* Removes the earliest event; the caller frees it. */
 struct event *world_pop_event(struct world *world);
 
-/* A random number below `below`; 0 if that is 0 or 1. */
+/* A random number below `below`; 0 if `below` is 0 or 1. */
 unsigned world_random_below(struct world *world, unsigned below);
 
 /* A random number from `low` to `high`. */
@@ -197,7 +199,7 @@
 
 /* ---- world_net.c: calls of VMs and their answers ---- */
 
-/* What VMs reach the store and the workers through. */
+/* Operations through which VMs access the store and the workers. */
 extern const struct cw_store_ops world_store_ops;
 extern const struct cw_targets_ops world_targets_ops;
 
@@ -255,18 +257,18 @@
 /* Crashes workers, and soon after kills the VM that owns the jobs. */
 void world_owner_kill(struct world *world, void *unused);
 
-/* The same, but the VM stays down for long. */
+/* Does the same as world_owner_kill, but the VM stays down for long. */
 void world_owner_loss(struct world *world, void *unused);
 
 /* ---- world_late.c ---- */
 
-/* Makes some workers late for a while. */
+/* Makes some workers answer late for a while. */
 void world_delay_workers(struct world *world, void *unused);
 
 /* How a late worker treats an order. */
 struct world_worker_delay {
-    bool resets; /* the connection, so that nothing is carried out */
-    unsigned added_one_way_ms; /* to the usual delay */
+    bool resets; /* resets the connection, so that the order is not executed */
+    unsigned added_one_way_ms; /* added to the usual delay */
 };
 
 /* How the worker treats an order now; all 0 if it is not late. */
@@ -301,7 +303,7 @@
 
 /* ---- world_waits.c ---- */
 
-/* Checks for jobs that could run and do not; to be called regularly. */
+/* Checks for jobs that could run and do not; call it regularly. */
 void world_check_waits(struct world *world);
 
 /* True if the job's account and the job itself permit the data centre;
--- a/emulator/store_model.c
+++ b/emulator/store_model.c
@@ -6,7 +6,8 @@
 #include "curlewcart/cw_time.h"
 
 enum {
-    /* Appends of a writer whose repetition gets the first answer again. */
+    /* Number of a writer's latest appends whose repetition gets the first
+     * answer again. */
     RECENT_APPENDS_MAX = 5,
     PAGE_RECORDS_MAX = 500 /* of a read of newest records */
 };
@@ -17,8 +18,8 @@
     uint64_t offset;
 };
 
-/* An append of a fenced writer, kept to answer a repetition of it. */
-struct recent {
+/* Append of a fenced writer, stored to answer its repetition. */
+struct recent_append {
     uint64_t sequence;
     struct cw_store_append_result result;
 };
@@ -27,7 +28,7 @@
     uint64_t epoch;
     uint64_t next_sequence;
     bool has_appended;
-    GQueue recent; /* struct recent */
+    GQueue recent; /* struct recent_append */
 };
 
 struct topic {
@@ -49,8 +50,8 @@
     GPtrArray *members;    /* struct member, oldest first */
     char *holder;          /* of partition 0 */
     uint64_t holder_since; /* generation */
-    char *next_holder; /* becomes holder when the present one joins again or is
-                            gone */
+    char *next_holder; /* becomes holder when the present holder joins again or
+                          its membership ends */
     uint64_t generation;
 };
 
@@ -181,7 +182,7 @@
         return true;
     }
     for (GList *l = writer->recent.head; l != NULL; l = l->next) {
-        const struct recent *recent = l->data;
+        const struct recent_append *recent = l->data;
 
         if (recent->sequence == call->sequence) {
             *result = recent->result;
@@ -200,7 +201,7 @@
 record_append(struct writer *writer, const struct cw_store_append *call,
               const struct cw_store_append_result *result)
 {
-    struct recent *recent = g_new0(struct recent, 1);
+    struct recent_append *recent = g_new0(struct recent_append, 1);
 
     writer->has_appended = true;
     writer->epoch = call->epoch;
@@ -400,9 +401,9 @@
     }
 }
 
-/* Assigns partition 0 if it has no holder.  A holder that loses it to another
- * member keeps it until it joins again, and so learns of the loss, or is
- * gone. */
+/* Assigns partition 0 if it has no holder.  A holder that loses the partition
+ * to another member keeps it until it joins again, which reports the loss, or
+ * until its membership ends. */
 static void
 assign_partition(struct store_model *model)
 {
--- a/emulator/store_model.h
+++ b/emulator/store_model.h
@@ -37,7 +37,7 @@
 void store_model_newest(struct store_model *model, const char *topic,
                         const char *after, struct store_model_page *out);
 
-/* Frees the records and what they refer to. */
+/* Frees the records and the data that they refer to. */
 void store_model_page_clear(struct store_model_page *page);
 
 /* End offset of a topic's partition 0. */
@@ -46,8 +46,8 @@
 /* Drops the history of a topic; the newest record of each key stays. */
 void store_model_compact(struct store_model *model, const char *topic);
 
-/* Joins the group, or renews the membership; returns the generation, and in
- * `assigned` whether partition 0 belongs to the member. */
+/* Joins the group, or renews the membership.  Returns the generation, and sets
+ * `assigned` to whether partition 0 belongs to the member. */
 uint64_t
 store_model_join(struct store_model *model, const char *member,
                  unsigned ttl_ms, struct timespec now, bool *assigned);
@@ -56,7 +56,7 @@
 void store_model_leave(struct store_model *model, const char *member,
                        struct timespec now);
 
-/* Reassigns partition 0 to a member that `choice` selects, though nobody
+/* Reassigns partition 0 to a member that `choice` selects, although no member
  * joined or left. */
 void store_model_reassign(struct store_model *model, unsigned choice,
                           struct timespec now);
--- a/emulator/worker_model.c
+++ b/emulator/worker_model.c
@@ -4,16 +4,16 @@
 #include <string.h>
 
 enum {
-    STOP_MS = 150,       /* that a run takes to stop */
-    GANG_WAIT_MS = 3000, /* for the other members of a gang */
-    CHECKPOINT_MS = 500, /* of work between two checkpoints */
+    STOP_MS = 150,       /* time that a run takes to stop */
+    GANG_WAIT_MS = 3000, /* wait for the other members of a gang */
+    CHECKPOINT_MS = 500, /* work between two checkpoints */
     LEASE_MAX_MS = 6000,
     ENDS_LISTED_MAX = 500,
-    /* From the start of a task that crashes workers to the crash; long enough
-     * for the answer to the start. */
+    /* Time from the start of a task that crashes workers to the crash; long
+     * enough to answer the start. */
     CRASH_AFTER_MS = 10,
-    /* Time after a worker has shrunk in which starts may still use the
-     * capacity before: three seconds until a VM receives the report, and one
+    /* Time after a worker has shrunk in which starts may still use its
+     * previous capacity: three seconds until a VM receives the report, and one
      * interval between two reports. */
     OLD_CAPACITY_COUNTS_MS = 4500,
     PERCENT = 100
@@ -47,9 +47,9 @@
     char *rack;
     struct cw_resources capacity;
     struct cw_resources capacity_before; /* before the last resize */
-    int64_t shrunk_ms;                   /* of the last resize; fleet's time */
-    int64_t clock_ms;                    /* its clock at the fleet's time 0 */
-    int64_t boot_ms; /* wall clock at the start of the incarnation */
+    int64_t shrunk_ms; /* time of the last resize; fleet's time */
+    int64_t clock_ms;  /* worker's clock at the fleet's time 0 */
+    int64_t boot_ms;   /* wall clock at the start of the incarnation */
     bool is_down;
     double speed;
     uint64_t fence;       /* highest fencing token received */
@@ -135,7 +135,8 @@
     fleet->wall_clock_base_ms = wall_clock_base_ms;
 }
 
-/* Boot time of an incarnation that starts now; not 0, which means unknown. */
+/* Boot time of an incarnation that starts now; never 0, which means
+ * unknown. */
 static int64_t
 boot_time_now_ms(const struct worker_fleet *fleet)
 {
@@ -276,7 +277,7 @@
 {
     const struct cw_resources *capacity_before = &worker->capacity;
 
-    /* Shortly after a resize, the capacity before it still counts if it was
+    /* Shortly after a resize, the previous capacity still counts if it was
      * larger. */
     if (shrank_recently(worker) &&
         worker->capacity_before.accelerators > capacity_before->accelerators)
@@ -421,7 +422,7 @@
     return present;
 }
 
-/* True if every member of the gang has done its work. */
+/* True if every member of the gang has finished its work. */
 static bool
 gang_work_is_done(struct worker_fleet *fleet, const struct model_run *run)
 {
@@ -526,7 +527,7 @@
            worker->fleet->now_ms > worker->lease_end_ms;
 }
 
-/* True if a task on the worker crashes it now. */
+/* True if a task on the worker crashes the worker now. */
 static bool
 crash_is_due(const struct worker_model *worker)
 {
@@ -603,8 +604,8 @@
     return worker->clock_ms + worker->fleet->now_ms;
 }
 
-/* Extends the lease; an end that is earlier changes nothing.  False if the
- * lease is over. */
+/* Extends the lease; an earlier end does not change it.  Returns false if the
+ * lease has expired. */
 static bool
 extend_lease(struct worker_model *worker, int64_t until_ms)
 {
@@ -653,7 +654,7 @@
            used.accelerators <= capacity->accelerators;
 }
 
-/* True if the start exceeds the worker's capacity, and also the capacity that
+/* True if the start exceeds both the worker's capacity and the capacity that
  * it had shortly before. */
 static bool
 exceeds_capacity(const struct worker_model *worker,
--- a/emulator/worker_model.h
+++ b/emulator/worker_model.h
@@ -2,7 +2,7 @@
  * tokens, gangs, checkpoints, and lists of ends that stay until they are
  * confirmed.
  *
- * The plan of a task says how long a run works and how many of its runs
+ * The plan of a task determines the duration of its runs and how many of them
  * fail. */
 #ifndef CURLEWCART_EMULATOR_WORKER_MODEL_H
 #define CURLEWCART_EMULATOR_WORKER_MODEL_H
@@ -16,17 +16,18 @@
 struct worker_fleet;
 struct worker_model;
 
-/* What the model has to know of a task. */
+/* Properties of a task that the model needs. */
 struct task_plan {
     unsigned work_ms;
-    unsigned fails;   /* its first runs, up to this one, fail */
+    unsigned fails;   /* number of first runs that fail */
     unsigned members; /* size of its gang; 0: no gang */
     bool checkpoints;
-    bool crashes; /* crashes each worker that starts it, soon after */
+    bool crashes; /* crashes each worker that starts the task, soon after the
+                     start */
     struct cw_resources need;
 };
 
-/* Callbacks for what happens on workers. */
+/* Callbacks for events on workers. */
 struct worker_listener {
     /* Returns the plan of a task; false if no caller submitted it. */
     bool (*plan)(void *context, const struct cw_task_name *task,
@@ -36,18 +37,18 @@
     void (*ended)(void *context, const char *worker,
                   const struct cw_task_name *task, unsigned run,
                   enum cw_end_kind how);
-    /* An order has confirmed the end; `lapsed`: the worker's lease expired
-     * between the end and its confirmation. */
+    /* Called when an order has confirmed the end; `lapsed`: the worker's lease
+     * expired between the end and its confirmation. */
     void (*confirmed)(void *context, const char *worker,
                       const struct cw_task_name *task, unsigned run,
                       enum cw_end_kind how, bool lapsed);
-    /* The worker has crashed; called for each run that was there. */
+    /* Called when the worker has crashed, for each run that was on it. */
     void (*crashed)(void *context, const char *worker,
                     const struct cw_task_name *task);
-    /* A task has crashed the worker: it is down. */
+    /* Called when a task has crashed the worker, which is then down. */
     void (*down)(void *context, struct worker_model *worker);
-    /* A start has exceeded the capacity of a worker.  Needed only where
-     * workers ignore their capacity, and may be NULL elsewhere. */
+    /* Called when a start has exceeded the capacity of a worker.  May be NULL
+     * unless workers ignore their capacity. */
     void (*over_capacity)(void *context, const char *worker,
                           const struct cw_task_name *task, unsigned run);
     void *context;
@@ -61,11 +62,11 @@
 void worker_fleet_set_wall_clock(struct worker_fleet *fleet,
                                  int64_t wall_clock_base_ms);
 
-/* From now on workers also start what exceeds their capacity. */
+/* Makes workers also start tasks that exceed their capacity. */
 void worker_fleet_ignore_capacity(struct worker_fleet *fleet);
 
-/* Adds a worker whose address is its id.  `clock_ms` is what its clock shows
- * at the fleet's time 0.  Borrowed. */
+/* Adds a worker whose address is its id.  `clock_ms` is the time of the
+ * worker's clock at the fleet's time 0.  Borrowed. */
 struct worker_model *
 worker_fleet_add(struct worker_fleet *fleet, const char *id, const char *rack,
                  const struct cw_resources *capacity, int64_t clock_ms);
@@ -77,12 +78,12 @@
                                  const struct worker_model *before,
                                  int64_t clock_ms);
 
-/* Starts the next incarnation of a worker that is down, under the same id: it
- * has no memory of the one before, and numbers its ends from 1 again.
- * `clock_ms` is what its clock shows now. */
+/* Starts the next incarnation of a worker that is down, under the same id.  It
+ * has no state of the previous incarnation, and numbers its ends from 1 again.
+ * `clock_ms` is the present time of its clock. */
 void worker_model_restart(struct worker_model *worker, int64_t clock_ms);
 
-/* Number of workers, with those that are down. */
+/* Number of workers, including those that are down. */
 unsigned worker_fleet_size(const struct worker_fleet *fleet);
 
 /* The worker at an index below worker_fleet_size.  Borrowed. */
@@ -102,28 +103,28 @@
 const struct cw_resources *
 worker_model_capacity(const struct worker_model *worker);
 
-/* Its capacity less what its runs take; negative if it has shrunk below
- * that. */
+/* Free capacity of the worker; negative if its capacity has shrunk below the
+ * resources that its runs use. */
 struct cw_resources worker_model_free(const struct worker_model *worker);
 
-/* When its present incarnation began, as wall-clock time. */
+/* Wall-clock time at which the worker's present incarnation started. */
 int64_t worker_model_boot_ms(const struct worker_model *worker);
 
 /* Number of runs on the worker. */
 unsigned worker_model_running(const struct worker_model *worker);
 
-/* Changes its capacity; runs go on. */
+/* Changes the worker's capacity; its runs continue. */
 void worker_model_resize(struct worker_model *worker,
                          const struct cw_resources *capacity);
 
-/* Crashes it: its runs are lost, and it answers no more. */
+/* Crashes the worker: its runs are lost, and it no longer answers. */
 void worker_model_crash(struct worker_model *worker);
 bool worker_model_is_down(const struct worker_model *worker);
 
-/* Sets how fast its runs work: 1 as planned, 0 not at all. */
+/* Sets the speed of the worker's runs: 1 as planned, 0 stalled. */
 void worker_model_set_speed(struct worker_model *worker, double speed);
 
-/* Carries out an order at `now_ms`.  Rows of a poll's answer are added to
+/* Executes an order at `now_ms`.  Rows of a poll's answer are added to
  * `running` and `ended`, and copies of their strings to `texts`. */
 void worker_model_order(struct worker_model *worker,
                         const struct cw_target_order *order, int64_t now_ms,
--- a/emulator/world.c
+++ b/emulator/world.c
@@ -10,11 +10,12 @@
 
 enum {
     REPORT_INTERVAL_MS = 1500, /* of the workers */
-    /* Time that a worker is down after a task has crashed it. */
+    /* Downtime of a worker after a task has crashed it. */
     CRASH_DOWN_MIN_MS = 1000,
     CRASH_DOWN_MAX_MS = 9000,
     CRASH_DISTURBANCE_MS = 12000,
-    /* Share of its capacity that a shrunk worker has, and for how long. */
+    /* Share of its capacity that a shrunk worker keeps, and duration of the
+     * shrinkage. */
     SHRUNK_MIN_PERCENT = 25,
     SHRUNK_MAX_PERCENT = 75,
     SHRUNK_MIN_MS = 2000,
@@ -23,11 +24,11 @@
     FIRST_JOB_MS = 2000,
     FIRST_FAULT_MS = 1500,
     CHECK_INTERVAL_MS = 500,
-    /* Twelve racks of workers, and jobs that keep them about 70% busy while
-     * jobs come. */
+    /* Twelve racks of workers, and enough jobs to keep them about 70% busy
+     * while jobs are submitted. */
     WIDE_WORKERS = 48,
     WIDE_JOBS = 260,
-    /* One in so many standard days has VMs with unequal processors. */
+    /* One of this many standard days has VMs with unequal processors. */
     UNEQUAL_VMS_ONE_IN = 4
 };
 
@@ -125,12 +126,12 @@
 
         for (guint i = 0; vm->alive && i < jobs->len; i++) {
             const struct checker_job *job = jobs->pdata[i];
-            const struct cw_replica_job *known =
+            const struct cw_replica_job *replica_job =
                 cw_replica_find_job(vm->replica, job->id);
 
-            if (known != NULL && known->spec != NULL) {
-                checker_phase_shown(world->checker, job->id,
-                                    cw_replica_phase(known));
+            if (replica_job != NULL && replica_job->spec != NULL) {
+                checker_phase_reported(world->checker, job->id,
+                                       cw_replica_phase(replica_job));
             }
         }
     }
@@ -146,10 +147,10 @@
     for (guint i = 0; i < jobs->len; i++) {
         const struct checker_job *job = jobs->pdata[i];
         struct vm *vm = world_random_vm(world);
-        const struct cw_replica_job *known =
+        const struct cw_replica_job *replica_job =
             vm->alive ? cw_replica_find_job(vm->replica, job->id) : NULL;
-        int phase = known != NULL && known->spec != NULL
-                        ? (int)cw_replica_phase(known)
+        int phase = replica_job != NULL && replica_job->spec != NULL
+                        ? (int)cw_replica_phase(replica_job)
                         : -1;
 
         checker_final_phase(world->checker, job, phase);
@@ -187,7 +188,7 @@
                           dc)) {
         checker_misplaced(world->checker, task, run);
     }
-    if (world->now_ms > world->delayed_orders_until_ms) {
+    if (world->now_ms > world->last_delayed_order_ms) {
         checker_started_in_cordon(world->checker, task, run,
                                   world_cordon_age_ms(world, dc));
     }
@@ -253,7 +254,7 @@
     .cpu_milli = 32000, .memory_mb = 65536, .accelerators = 8};
 
 /* Also restores the capacity of a later incarnation at the same address, which
- * has the shrunk capacity of the one before. */
+ * has the shrunk capacity of the previous incarnation. */
 static void
 restore_capacity(struct world *world, void *context)
 {
@@ -289,7 +290,7 @@
                    restore_capacity, worker);
 }
 
-/* The time that the worker is down may be shorter or longer than its lease. */
+/* The worker's downtime may be shorter or longer than its lease. */
 static void
 on_down(void *context, struct worker_model *worker)
 {
@@ -401,7 +402,7 @@
     }
 }
 
-/* Schedules `run` `times` times, each at a random time of the day from
+/* Schedules `times` calls of `run`, each at a random time of the day from
  * `from_ms` on. */
 static void
 schedule_times(struct world *world, unsigned times, unsigned from_ms,
@@ -437,7 +438,8 @@
     world_schedule(world, options->day_ms + 1000, world_heal_all, NULL);
 }
 
-/* The VM whose tick is due first, and when; NULL if all VMs are down. */
+/* The VM whose tick is due first, and the due time; NULL if all VMs are
+ * down. */
 static struct vm *
 next_vm(struct world *world, int64_t *at_ms)
 {
@@ -541,7 +543,7 @@
 
     if (seed % UNEQUAL_VMS_ONE_IN == UNEQUAL_VMS_ONE_IN - 1) {
         day.vms = 7;
-        day.strong = 3;
+        day.strong_vms = 3;
     }
     return day;
 }
--- a/emulator/world.h
+++ b/emulator/world.h
@@ -1,7 +1,7 @@
 /* Simulates a deployment in one process under one virtual clock: models of the
  * store and of the workers, VMs that run the product's own code, and a network
- * between them with delays, losses and partitions.  The same seed gives the
- * same day. */
+ * between them with delays, losses and partitions.  A day is one run of the
+ * simulation; the same seed gives the same day. */
 #ifndef CURLEWCART_EMULATOR_WORLD_H
 #define CURLEWCART_EMULATOR_WORLD_H
 
@@ -13,32 +13,33 @@
 struct world_options {
     uint32_t seed;
     unsigned vms;
-    unsigned strong; /* VMs with four times the processor of the others; 0: all
-                        alike */
+    unsigned strong_vms; /* number of VMs with four times the processor of the
+                        others; 0: all VMs have the same */
     unsigned workers;
-    unsigned jobs;             /* submitted over the day */
-    unsigned day_ms;           /* in which jobs come and faults occur */
-    unsigned quiet_ms;         /* after it, in which all jobs have to end */
-    unsigned faults;           /* at most */
-    unsigned crashing_percent; /* jobs that crash workers */
-    unsigned tail_percent;     /* tasks that are long */
-    unsigned shrinks;  /* times that a worker's capacity shrinks for a while */
-    unsigned restarts; /* times that workers crash and restart under their
-                          ids */
-    bool ignores_capacity;  /* workers start what exceeds their capacity */
+    unsigned jobs;     /* submitted over the day */
+    unsigned day_ms;   /* time in which jobs are submitted and faults occur */
+    unsigned quiet_ms; /* time after day_ms in which all jobs have to end */
+    unsigned faults;   /* maximum number */
+    unsigned crashing_percent; /* percentage of jobs that crash workers */
+    unsigned tail_percent;     /* percentage of tasks that are long */
+    unsigned shrinks; /* number of times that a worker's capacity shrinks for a
+                         while */
+    unsigned restarts; /* number of times that workers crash and restart under
+                          their ids */
+    bool ignores_capacity; /* workers start tasks that exceed their capacity */
     unsigned late_episodes; /* times that some workers answer late, or reset
                                connections, as overloaded machines do */
     bool reads_commands; /* VMs read operator commands, also if there are none;
-                            else only with cordons, so that the days of
-                            existing seeds stay as they are */
-    unsigned cordons;    /* times that an operator closes a data centre to new
-                            work for a while */
-    unsigned owner_kills;  /* times that workers crash and the VM that owns the
-                              jobs is killed soon after */
-    unsigned owner_losses; /* the same, with a VM that stays down for long */
+                            otherwise only with cordons, so that the days of
+                            existing seeds do not change */
+    unsigned cordons; /* number of times that an operator closes a data centre
+                         to new work for a while */
+    unsigned owner_kills; /* number of times that workers crash and the VM that
+                             owns the jobs is killed soon after */
+    unsigned owner_losses; /* as owner_kills, but the VM stays down for long */
     bool wide;  /* jobs and gangs larger than a rack, and many tasks in a
                    job */
-    bool trace; /* prints faults, starts and answers with their time */
+    bool trace; /* print faults, starts and answers with their times */
 };
 
 struct world_result {
@@ -48,15 +49,15 @@
     unsigned takeovers;
     double busiest_vm_cpu_s; /* processor time of the product's code in the
                                 busiest VM */
-    double all_vms_cpu_s;    /* ... in all VMs */
+    double all_vms_cpu_s;    /* total of all VMs */
 };
 
-/* The standard day: small, so that faults coincide.  In one of four, VMs have
- * unequal processors. */
+/* The standard day of a seed: small, so that faults coincide.  On one of four
+ * standard days, VMs have unequal processors. */
 struct world_options world_standard_day(uint32_t seed);
 
-/* Adds wide jobs, enough workers for them, and so many jobs that the service
- * is full for much of the day. */
+/* Adds wide jobs, enough workers for them, and enough jobs to keep the service
+ * full for much of the day. */
 void world_widen(struct world_options *day);
 
 /* Simulates a day. */
--- a/emulator/world_call.c
+++ b/emulator/world_call.c
@@ -50,12 +50,12 @@
     struct cw_store_join_result joined = {.status = status};
     struct cw_target_answer answer = {.status = CW_TARGET_UNKNOWN};
     bool ok = status == CW_STORE_OK;
-    double began;
+    double started_s;
 
     if (call->ended) {
         return;
     }
-    began = world_processor_s();
+    started_s = world_processor_s();
     call->ended = true;
     g_ptr_array_remove_fast(call->vm->calls, call);
     switch (call->kind) {
@@ -79,7 +79,7 @@
         call->order.done(call->order.context, ok ? &call->answer : &answer);
         break;
     }
-    call->vm->cpu_s += world_processor_s() - began;
+    call->vm->cpu_s += world_processor_s() - started_s;
     call->vm->due_ms = call->vm->world->now_ms;
     world_call_unref(call);
 }
--- a/emulator/world_cordons.c
+++ b/emulator/world_cordons.c
@@ -1,5 +1,6 @@
-/* Cordons of data centres by operators: of one or all, for moments or seconds,
- * and repeated before all VMs have read the last command. */
+/* Cordons of data centres by operators: of one data centre or all, for
+ * fractions of a second or for seconds, and repeated before all VMs have read
+ * the previous command. */
 #include "emulator/internal/world_private.h"
 
 #include <string.h>
@@ -9,18 +10,18 @@
 enum {
     CORDON_MIN_MS = 100,
     CORDON_MAX_MS = 14000,
-    /* Cordons that are soon followed by another one. */
+    /* Percentage of cordons that are soon followed by another one. */
     FLAP_PERCENT = 20,
     FLAP_MAX_MS = 400,
-    /* Cordons of all data centres. */
+    /* Percentage of cordons that apply to all data centres. */
     ALL_PERCENT = 10,
     WORKERS_PER_RACK = 4
 };
 
 struct world_cordon {
     int64_t since_ms;
-    unsigned sequence; /* number of its newest command; only the end of that
-                          one withdraws the cordon */
+    unsigned sequence; /* number of the newest command; only the end of that
+                          command withdraws the cordon */
 };
 
 struct cordon_end {
--- a/emulator/world_faults.c
+++ b/emulator/world_faults.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-/* Workers of a rack of four that may drain in a day. */
+/* Maximum number of workers of a rack of four that drain in a day. */
 enum { RACK_DRAINING_MAX = 2 };
 
 #include "curlewcart/cw_entry.h"
@@ -140,12 +140,12 @@
 }
 
 static void
-fault_orders_late(struct world *world)
+fault_delay_orders(struct world *world)
 {
     world_record_fault(world, "orders late");
     world_disturb(world, 14000, 0);
-    world->orders_delayed_until_ms = world->now_ms + 4000;
-    world->delayed_orders_until_ms = world->orders_delayed_until_ms + 9000;
+    world->order_delay_fault_until_ms = world->now_ms + 4000;
+    world->last_delayed_order_ms = world->order_delay_fault_until_ms + 9000;
 }
 
 static void
@@ -158,11 +158,11 @@
     worker_model_set_speed(worker, 0);
 }
 
-/* Workers of the rack that drain; a drain never ends. */
+/* Number of workers of the rack that drain; a drain never ends. */
 static unsigned
 count_draining_in_rack(const struct world *world, const char *rack)
 {
-    unsigned leaving = 0;
+    unsigned draining_count = 0;
     GHashTableIter iterator;
     gpointer id;
 
@@ -171,9 +171,9 @@
         const struct worker_model *worker =
             worker_fleet_find(world->fleet, id);
 
-        leaving += strcmp(rack, worker_model_rack(worker)) == 0;
+        draining_count += strcmp(rack, worker_model_rack(worker)) == 0;
     }
-    return leaving;
+    return draining_count;
 }
 
 static void
@@ -183,7 +183,8 @@
     const char *id = worker_model_id(worker);
 
     /* Each rack is a data centre.  With one worker left, a gang that may run
-     * only in this data centre would fit nowhere (seed 950258). */
+     * only in this data centre would not fit anywhere (regression seed
+     * 950258). */
     if (count_draining_in_rack(world, worker_model_rack(worker)) >=
         RACK_DRAINING_MAX)
     {
@@ -198,7 +199,7 @@
 {
     struct vm *vm = context;
 
-    if (vm->alive && vm->leaving) {
+    if (vm->alive && vm->shutting_down) {
         world_vm_kill(vm);
         world_schedule(world, 200, world_vm_restart, vm);
     }
@@ -209,12 +210,12 @@
 {
     struct vm *vm = world_random_vm(world);
 
-    if (!vm->alive || vm->leaving) {
+    if (!vm->alive || vm->shutting_down) {
         return;
     }
     world_record_fault(world, "leave vm-%u", vm->index);
     world_disturb(world, 3000, 0);
-    vm->leaving = true;
+    vm->shutting_down = true;
     cw_entry_begin_shutdown(vm->entry);
     cw_owner_leave(vm->owner);
     world_schedule(world, 2600, finish_shutdown, vm);
@@ -227,7 +228,7 @@
         fault_kill,         fault_kill_all,     fault_freeze,
         fault_cut_vm,       fault_store_down,   fault_store_slow,
         fault_lose_appends, fault_compact,      fault_reassign_partition,
-        fault_cut_worker,   fault_crash_worker, fault_orders_late,
+        fault_cut_worker,   fault_crash_worker, fault_delay_orders,
         fault_hang,         fault_drain,        fault_shut_down_vm,
     };
 
@@ -242,7 +243,7 @@
     world_record_fault(world, "heal");
     world->store_down_until_ms = 0;
     world->append_loss_until_ms = 0;
-    world->orders_delayed_until_ms = 0;
+    world->order_delay_fault_until_ms = 0;
     g_hash_table_remove_all(world->cut_workers);
     world_uncordon_all(world);
     for (guint i = 0; i < world->vms->len; i++) {
--- a/emulator/world_late.c
+++ b/emulator/world_late.c
@@ -1,22 +1,24 @@
 /* Late workers, as on overloaded machines: orders and answers take longer, or
- * connections are reset before the order is carried out. */
+ * connections are reset before the order is executed. */
 #include "emulator/internal/world_private.h"
 
 enum {
     LATE_MIN_MS = 500,
-    /* As long as a worker that goes down and up by turns is unavailable. */
+    /* Equal to the time for which a worker that repeatedly goes down and up is
+     * unavailable. */
     LATE_MAX_MS = 1500,
-    /* One way; both ways together are at times shorter and at times longer
+    /* One way; the sum of both ways is sometimes shorter and sometimes longer
      * than the timeout of an order. */
     ADDED_ONE_WAY_MAX_MS = 350,
-    /* Late workers that reset every connection; the others only delay. */
+    /* Percentage of late workers that reset each connection; the others only
+     * delay. */
     RESETTING_PERCENT = 50,
-    /* One worker in so many is late at a time, at most. */
+    /* At most one of this many workers is late at a time. */
     LATE_ONE_IN = 4
 };
 
-/* True if a late worker resets connections; derived from its id, so that it
- * always does the same on a day. */
+/* True if a late worker resets connections; derived from the worker's id, so
+ * that its behaviour is constant on a day. */
 static bool
 is_resetting(const struct world *world, const char *worker)
 {
--- a/emulator/world_load.c
+++ b/emulator/world_load.c
@@ -9,18 +9,18 @@
 #include "curlewcart/cw_entry.h"
 
 enum {
-    CLIENT_TRIES_MAX = 4,
+    CLIENT_ATTEMPTS_MAX = 4,
     CLIENT_BUDGET_MS = 1300,
     JOB_DEADLINE_MS = 4000,
     PERCENT = 100,
     WIDE_PERCENT = 33,
     WIDE_TASKS_MIN = 12,
     WIDE_TASKS_MAX = 48,
-    /* Half a data centre of four workers: fits while two of them are down. */
+    /* Half a data centre of four workers: fits while two workers are down. */
     CONFINED_ACCELERATORS_MAX = 16,
-    /* Jobs that can't be preempted wait while they would leave less than the
-     * guaranteed 64 accelerators free; with three workers drained, this many
-     * are left beyond the guarantee. */
+    /* Jobs that cannot be preempted wait while their start would leave less
+     * than the guaranteed 64 accelerators free; with three workers drained,
+     * this many accelerators remain beyond the guarantee. */
     AT_MOST_ONCE_ACCELERATORS_MAX = 8
 };
 
@@ -53,8 +53,8 @@
         job->outcome_unknown =
             job->outcome_unknown || outcome == CW_ENTRY_UNCONFIRMED;
     }
-    if (retry && call->tries < CLIENT_TRIES_MAX) {
-        call->tries++;
+    if (retry && call->attempts < CLIENT_ATTEMPTS_MAX) {
+        call->attempts++;
         world_schedule(
             world, world_random_between(world, 50, 400),
             call->cancel ? world_client_cancel : world_client_submit, call);
@@ -63,15 +63,15 @@
     g_free(call);
 }
 
-/* Selects a VM for the call; false if the VM is down or frozen, and the call
- * is retried later or has been freed. */
+/* Selects a VM for the call.  Returns false if the VM is down or frozen; the
+ * call is then retried later or has been freed. */
 static bool
 assign_vm(struct world *world, struct client_call *call)
 {
     struct vm *vm = world_random_vm(world);
 
     if (!vm->alive || vm->frozen_until_ms > world->now_ms) {
-        if (++call->tries > 2 * CLIENT_TRIES_MAX) {
+        if (++call->attempts > 2 * CLIENT_ATTEMPTS_MAX) {
             g_free(call);
         }
         else {
@@ -161,8 +161,9 @@
     g_free(path);
 }
 
-/* Widens every third step of a wide day: a gang of up to half the service,
- * often larger than a rack of 32 accelerators, or many small tasks. */
+/* Widens every third step of a wide day: the step becomes a gang of up to half
+ * the service, often larger than a rack of 32 accelerators, or gets many small
+ * tasks. */
 static void
 widen_step(struct world *world, struct cw_step_spec *step)
 {
@@ -203,7 +204,7 @@
     }
 }
 
-/* Accelerators that the widest step takes. */
+/* Number of accelerators that the widest step uses. */
 static unsigned
 widest_step(const struct cw_work_spec *spec)
 {
@@ -217,8 +218,8 @@
     return widest;
 }
 
-/* Sets what a caller may ask for besides the steps.  Derived from the id, so
- * that the day's other random numbers stay as they are. */
+/* Sets the optional fields of a request.  Derived from the id, so that the
+ * day's other random numbers do not change. */
 static void
 fill_constraints(struct cw_work_spec *spec)
 {
--- a/emulator/world_net.c
+++ b/emulator/world_net.c
@@ -1,20 +1,21 @@
 /* The network: calls of VMs to the store and to workers, which may be delayed,
- * lost, refused, or carried out late. */
+ * lost, refused, or executed late. */
 #include "emulator/internal/world_private.h"
 
 #include <string.h>
 
 enum {
-    /* On days with restarts, orders with an additional delay, so that some
-     * reach the worker's next incarnation. */
+    /* On days with restarts, percentage of orders with an additional delay, so
+     * that some reach the worker's next incarnation. */
     DELAYED_ORDER_PERCENT = 5,
     ORDER_DELAY_MAX_MS = 350,
-    /* ... and orders that are carried out but not answered. */
+    /* On days with restarts, percentage of orders that are executed but not
+     * answered. */
     UNANSWERED_PERCENT = 2,
-    STORE_ONE_WAY_MS = 2, /* the usual mean, one way */
+    STORE_ONE_WAY_MS = 2, /* usual mean delay, one way */
     SLOW_STORE_ONE_WAY_MAX_MS = 120,
     WORKER_ONE_WAY_MS = 1,
-    LONG_POLL_CHECK_MS = 25 /* between two checks of a long poll */
+    LONG_POLL_CHECK_MS = 25 /* time between two checks of a long poll */
 };
 
 static void
@@ -154,7 +155,7 @@
     world_call_unref(call);
 }
 
-/* The call has reached the store. */
+/* Handles a call that has reached the store. */
 static void
 arrive_at_store(struct world *world, void *context)
 {
@@ -312,8 +313,8 @@
     return call->boot_ms != boot_ms;
 }
 
-/* The order has reached the worker, which carries it out and answers unless it
- * is cut off. */
+/* Executes an order that has reached the worker, and answers unless the worker
+ * is disconnected. */
 static void
 arrive_at_worker(struct world *world, void *context)
 {
@@ -387,7 +388,7 @@
     if (worker_cut(world, call->text)) {
         return;
     }
-    if (world->orders_delayed_until_ms > world->now_ms &&
+    if (world->order_delay_fault_until_ms > world->now_ms &&
         world_random_chance(world, 10))
     {
         const struct worker_model *worker =
--- a/emulator/world_owner_kills.c
+++ b/emulator/world_owner_kills.c
@@ -1,5 +1,6 @@
 /* Crashes of workers, followed within a second by the kill of the VM that owns
- * the jobs: no VM is left that knows when the workers' leases expire. */
+ * the jobs: no remaining VM has the times at which the workers' leases
+ * expire. */
 #include "emulator/internal/world_private.h"
 
 #include "curlewcart/cw_owner.h"
@@ -10,7 +11,7 @@
     DOWN_MIN_MS = 100,
     DOWN_MAX_MS = 1500,
     LOSS_DOWN_MS = 20000,
-    KILL_DISTURBANCE_MS = 4000
+    KILL_EFFECTS_MS = 4000
 };
 
 static struct vm *
@@ -37,13 +38,14 @@
     return count;
 }
 
-/* Kills the VM for `down_ms`; the disturbance lasts for `disturbance_ms`. */
+/* Kills the VM and restarts it after `down_ms`.  The fault counts as lasting
+ * `fault_ms`, and its effects KILL_EFFECTS_MS longer. */
 static void
 kill_vm(struct world *world, struct vm *vm, unsigned down_ms,
-        unsigned disturbance_ms)
+        unsigned fault_ms)
 {
     world_record_fault(world, "kill owner vm-%u for %u", vm->index, down_ms);
-    world_disturb(world, disturbance_ms, KILL_DISTURBANCE_MS);
+    world_disturb(world, fault_ms, KILL_EFFECTS_MS);
     world_schedule(world, down_ms, world_vm_restart, vm);
     world_vm_kill(vm);
 }
@@ -60,8 +62,8 @@
     }
 }
 
-/* A VM that is down for long is a disturbance only at first: the others have
- * to go on without it, and can't learn what it knew. */
+/* The fault counts as over at once, although the VM is down for long: the
+ * other VMs have to work without it, and cannot obtain its state. */
 static void
 lose_owner(struct world *world, void *unused)
 {
@@ -73,7 +75,8 @@
     }
 }
 
-/* Crashes some workers and schedules `then` within a second. */
+/* Crashes some workers and schedules `then` at a random time within a
+ * second. */
 static void
 crash_workers(struct world *world, void (*then)(struct world *, void *))
 {
--- a/emulator/world_restarts.c
+++ b/emulator/world_restarts.c
@@ -1,18 +1,20 @@
 /* Workers that crash and restart under their ids: alone or together, within
- * their lease or after it, twice in a row, while cut off, while draining. */
+ * their lease or after its end, twice in a row, while disconnected, while
+ * draining. */
 #include "emulator/internal/world_private.h"
 
 enum {
     WORKERS_TOGETHER_MAX = 4,
     DOWN_MIN_MS = 50,
-    /* The duration of a lease: about half of the workers are up again before
-     * their lease would have expired. */
+    /* The duration of a lease: about half of the workers restart before their
+     * lease expires. */
     DOWN_MAX_MS = 6000,
-    /* Crashes in which the worker is also cut off, and for how much longer
-     * than it is down. */
+    /* Percentage of crashes in which the worker is also disconnected, and the
+     * maximum time for which it stays disconnected after its restart. */
     CUT_PERCENT = 20,
     CUT_EXTRA_MAX_MS = 2000,
-    /* Restarts that are followed by a second crash, and after what time. */
+    /* Percentage of restarts that are followed by a second crash, and the time
+     * until that crash. */
     SECOND_CRASH_PERCENT = 20,
     SECOND_CRASH_MIN_MS = 20,
     SECOND_CRASH_MAX_MS = 2000,
--- a/emulator/world_vms.c
+++ b/emulator/world_vms.c
@@ -11,9 +11,9 @@
 enum {
     MEMBER_TTL_MS = 1300,
     COMMANDS_WAIT_MS = 1000,
-    CORDON_MS = 5000,
+    CORDON_EFFECT_MAX_MS = 5000,
     LEASE_MS = 6000,
-    /* Processors of VMs, in thousandths of a core: strong ones have some four
+    /* Processors of VMs, in thousandths of a core; strong VMs have about four
      * times as much. */
     STRONG_VM_CPU_MILLI = 500,
     WEAK_VM_CPU_MILLI = 120
@@ -33,7 +33,7 @@
 void
 world_vm_tick(struct vm *vm)
 {
-    double began = world_processor_s();
+    double started_s = world_processor_s();
     struct timespec now = vm->world->clock.now;
     struct timespec next = cw_entry_tick(vm->entry, now);
     bool active = cw_owner_active(vm->owner);
@@ -49,7 +49,7 @@
     vm->takeovers += !active && cw_owner_active(vm->owner);
     vm->due_ms =
         MAX(vm->world->now_ms + 1, cw_time_diff_ms(cw_time_from_ms(0), next));
-    vm->cpu_s += world_processor_s() - began;
+    vm->cpu_s += world_processor_s() - started_s;
 }
 
 static void
@@ -91,8 +91,8 @@
     struct world *world = vm->world;
     char *name = g_strdup_printf("vm-%u", vm->index);
     char *member = g_strdup_printf("%s/%u", name, vm->incarnation);
-    bool strong =
-        world->options.strong == 0 || vm->index < world->options.strong;
+    bool strong = world->options.strong_vms == 0 ||
+                  vm->index < world->options.strong_vms;
     struct cw_replica_options replica = {.store = &vm->store,
                                          .clock = &world->clock.base,
                                          .read_interval_ms =
@@ -111,7 +111,7 @@
         .member_ttl_ms = MEMBER_TTL_MS,
         .lease_ms = LEASE_MS,
         .retain_ms = 600000,
-        .cordon_ms = CORDON_MS,
+        .cordon_ms = CORDON_EFFECT_MAX_MS,
         .capacity_milli = strong ? STRONG_VM_CPU_MILLI : WEAK_VM_CPU_MILLI};
 
     if (world->options.reads_commands || world->options.cordons > 0) {
@@ -126,14 +126,14 @@
     cw_entry_configure(vm->entry, world->routing);
     cw_owner_configure(vm->owner, world->routing);
     vm->alive = true;
-    vm->leaving = false;
+    vm->shutting_down = false;
     vm->due_ms = world->now_ms;
     g_free(member);
     g_free(name);
 }
 
-/* Breaks the callers' connections: they don't learn the outcome of their
- * calls. */
+/* Breaks the callers' connections, so that callers do not receive the outcome
+ * of their calls. */
 static void
 break_clients(struct vm *vm)
 {
@@ -154,8 +154,8 @@
         return;
     }
     vm->alive = false;
-    /* Ends the calls in flight, so that their contexts are freed; whatever the
-     * VM still sends while it is killed is lost. */
+    /* Ends the calls in flight, so that their contexts are freed; all requests
+     * that the VM still sends while it is killed are lost. */
     vm->cut_until_ms = INT64_MAX;
     while (vm->calls->len > 0) {
         struct call *call = vm->calls->pdata[vm->calls->len - 1];
--- a/emulator/world_waits.c
+++ b/emulator/world_waits.c
@@ -1,6 +1,6 @@
-/* Finds jobs that could run and do not, however full the service is.  It uses
- * only what workers carry out and none of the product's state, so that it
- * finds them whatever the cause. */
+/* Finds jobs that could run and do not, however full the service is.  Uses
+ * only the workers' runs and none of the product's state, so that such jobs
+ * are found whatever the cause. */
 #include "emulator/internal/world_private.h"
 
 #include <string.h>
@@ -8,8 +8,8 @@
 enum {
     /* Jobs are checked again from this long after the last fault. */
     CALM_MS = 4000,
-    /* Free capacity, in multiples of what a job needs to start, from which it
-     * counts as able to run. */
+    /* A job counts as able to run from this free capacity on, in multiples of
+     * the resources that it needs to start. */
     FREE_CAPACITY_FACTOR = 2
 };
 
@@ -27,7 +27,7 @@
            (!confined || strcmp(dc, "d0") == 0 || strcmp(dc, "d1") == 0);
 }
 
-/* True if the worker takes new tasks: it is up, not draining, doesn't reset
+/* True if the worker accepts new tasks: it is up, not draining, doesn't reset
  * connections, and its data centre is not cordoned. */
 static bool
 accepts_work(struct world *world, const struct worker_model *worker)
@@ -118,7 +118,7 @@
     return false;
 }
 
-/* Accelerators that jobs of the highest priority wait for. */
+/* Number of accelerators that jobs of the highest priority wait for. */
 static unsigned
 urgent_need(const struct world *world)
 {
@@ -139,9 +139,9 @@
 }
 
 /* Number of the step's tasks whose capacity goes to urgent work first.  Urgent
- * work is placed before others and may preempt them; while they stop, the
- * capacity that it waits for is still free.  With most of the service free
- * there is enough for both. */
+ * work is placed before others and may preempt them; while the preempted runs
+ * stop, the capacity that urgent work waits for is still free.  With most of
+ * the service free, there is enough capacity for urgent and other work. */
 static unsigned
 reserved_for_urgent(struct world *world, const struct checker_job *job,
                     const struct cw_step_spec *step)
@@ -152,8 +152,8 @@
     return urgent_need(world) / MAX(1, step->accelerators);
 }
 
-/* True if what can only start together, a task or a gang, fits twice.  A gang
- * that needs one rack may wait until one has capacity. */
+/* True if the unit that has to start together, a task or a gang, fits twice.
+ * A gang that needs a single rack may wait until a rack has capacity. */
 static bool
 has_capacity(struct world *world, const struct checker_job *job,
              const struct cw_step_spec *step)
@@ -166,7 +166,8 @@
            (!step->same_rack || some_rack_has_capacity(world, job, step));
 }
 
-/* At-most-once jobs don't count: they may have to wait for a guarantee. */
+/* At-most-once jobs are not counted: they may have to wait because of a
+ * guarantee. */
 static bool
 is_runnable(struct world *world, const struct checker_job *job)
 {
--- a/include/curlewcart/cw_codec.h
+++ b/include/curlewcart/cw_codec.h
@@ -13,9 +13,9 @@
     const char *routing_key;   /* key of the configuration */
     const char *targets_topic; /* keyed; written by workers */
 
-    /* The data centre that a record of the routing topic cordons, taken from
-     * the record's key; NULL if the record is of another kind.  Borrowed from
-     * `key`. */
+    /* Returns the data centre that a record of the routing topic cordons,
+     * taken from the record's key; NULL if the record is of another kind.
+     * Borrowed from `key`. */
     const char *(*cordoned_dc)(const char *key);
 
     /* Decodes a configuration, which the caller then owns.  NULL if `text` is
@@ -24,7 +24,7 @@
                                          char *problem, size_t size);
 
     /* Decodes a worker's report and passes it to `take`, which borrows it.
-     * False if `text` is not a report. */
+     * Returns false if `text` is not a report. */
     bool (*decode_target)(const char *id, const void *text, size_t length,
                           void (*take)(void *context,
                                        const struct cw_target_report *report),
--- a/include/curlewcart/cw_store.h
+++ b/include/curlewcart/cw_store.h
@@ -14,9 +14,8 @@
 
 enum cw_store_status {
     CW_STORE_OK,
-    CW_STORE_REFUSED,  /* not carried out: busy, rate limit, unreachable */
-    CW_STORE_UNKNOWN,  /* no answer: may or may not be carried out, now or
-                          later */
+    CW_STORE_REFUSED, /* not executed: busy, rate limit, unreachable */
+    CW_STORE_UNKNOWN, /* no answer: may or may not be executed, now or later */
     CW_STORE_CONFLICT, /* the partition does not end at `expected_end` */
     CW_STORE_FENCED,   /* a writer with a higher epoch has appended */
     CW_STORE_OUT_OF_SEQUENCE, /* not the writer's next sequence number */
@@ -106,7 +105,7 @@
     const char *member;
     const char *topic;
     unsigned ttl_ms;
-    uint64_t generation; /* last one received; 0 at first */
+    uint64_t generation; /* last generation received; 0 at first */
     unsigned timeout_ms;
     void (*done)(void *context, const struct cw_store_join_result *result);
     void *context;
@@ -124,7 +123,7 @@
 /* Members that the partitions of a group are assigned to. */
 struct cw_store_member_list {
     enum cw_store_status status;
-    const char *const *members; /* may repeat */
+    const char *const *members; /* a member may occur several times */
     size_t count;
 };
 
--- a/standins/platform_standin.c
+++ b/standins/platform_standin.c
@@ -1,16 +1,16 @@
 /* curlewcart-platform: the platform's store and workers over HTTP on
  * loopback, for tests with real daemons.
  *
- * It puts the emulator's models behind HTTP.  It implements the calls that the
+ * Serves the emulator's models over HTTP.  Implements the calls that the
  * product makes, as the users specify them, and prints the addresses that it
  * listens on.
  *
  * The payload of a job determines what its tasks do:
  *   run_ms=N        duration of a run
  *   members=N       the task belongs to a gang of N
- *   accelerators=N  accelerators that it needs (1)
- *   fails=N         number of its runs that fail
- *   echo=TEXT       text that its end has, after the job's id
+ *   accelerators=N  accelerators that a task needs (default 1)
+ *   fails=N         the first N runs of a task fail
+ *   echo=TEXT       a successful run reports the text "JOB:TEXT"
  *   crash=1         the job's first task crashes every worker that starts it;
  *                   the worker doesn't answer for a while and then restarts
  *                   under another id
@@ -93,7 +93,8 @@
     store_model_append(platform->store, &append);
 }
 
-/* Restarts a worker whose downtime is over; false if it is still down. */
+/* Restarts a worker whose downtime has ended; false if the worker is still
+ * down. */
 static bool
 restart_if_due(struct platform *platform, struct worker_server *worker)
 {
@@ -155,12 +156,12 @@
     }
 }
 
-/* Crashes every third worker, beginning with another one each time.  They
- * restart under their ids after 50 ms to 1.8 s. */
+/* Crashes every third worker, starting from a different worker each time.
+ * They restart under their ids after 50 ms to 1.8 s. */
 static void
 crash_workers(struct platform *platform)
 {
-    for (guint i = platform->crashes++ % CRASH_EVERY_NTH;
+    for (guint i = platform->crash_rounds++ % CRASH_EVERY_NTH;
          i < platform->workers->len; i += CRASH_EVERY_NTH)
     {
         struct worker_server *worker = platform->workers->pdata[i];
@@ -176,7 +177,7 @@
             worker->keeps_id = true;
         }
     }
-    platform->keeps_id = false;
+    platform->next_crash_keeps_id = false;
 }
 
 static void
@@ -195,10 +196,10 @@
             fflush(stdout);
         }
     }
-    platform->keeps_id = false;
+    platform->next_crash_keeps_id = false;
 }
 
-/* Reads standard input without waiting and executes the complete lines. */
+/* Reads standard input without blocking and executes complete lines. */
 static void
 run_commands(struct platform *platform, GString *text)
 {
@@ -281,9 +282,9 @@
     g_strfreev(dcs);
 }
 
-/* For a proxy between daemons and workers: prints the workers' addresses and
- * waits for the file that has the proxy's ports, in lines "LINK PORT" in the
- * same order. */
+/* Makes workers reachable through a proxy: prints the workers' addresses and
+ * waits for the file with the proxy's ports, which has a line "LINK PORT" for
+ * each worker, in the same order. */
 static bool
 use_proxy_addresses(struct platform *platform)
 {
@@ -296,7 +297,8 @@
         printf("worker=%s %s\n", worker->id, worker->address);
     }
     fflush(stdout);
-    for (int tries = 0; tries < PROXY_WAIT_STEPS && text == NULL; tries++) {
+    for (int attempts = 0; attempts < PROXY_WAIT_STEPS && text == NULL;
+         attempts++) {
         g_usleep(POLL_INTERVAL_MS * 1000);
         (void)g_file_get_contents(platform->proxy_path, &text, NULL, NULL);
     }
--- a/standins/platform_standin.h
+++ b/standins/platform_standin.h
@@ -14,14 +14,14 @@
 
 enum {
     POLL_INTERVAL_MS = 20,
-    /* Steps of 20 ms to wait for the proxy's file: 10 s. */
+    /* Number of 20 ms steps to wait for the proxy's file: 10 s. */
     PROXY_WAIT_STEPS = 500,
     REPORT_INTERVAL_MS = 1500,
     RESTART_CHECK_MS = 20,
-    /* How long a worker is down after a task crashed it. */
+    /* Downtime of a worker after a task has crashed it. */
     CRASH_DOWNTIME_MS = 1000,
-    /* Every third worker crashes together.  The time until it restarts begins
-     * at a minimum, grows by a step per worker, and wraps at a span. */
+    /* Every third worker crashes at the same time.  The time until a worker's
+     * restart is a minimum plus a step per worker, modulo a span. */
     CRASH_EVERY_NTH = 3,
     RESTART_DELAY_MIN_MS = 50,
     RESTART_DELAY_STEP_MS = 150,
@@ -48,18 +48,18 @@
     unsigned per_rack;      /* workers in each rack */
     bool store_unavailable; /* the store refuses all calls */
     GHashTable *payloads;   /* job's id -> payload */
-    unsigned violations;    /* starts of a task that runs or is done */
+    unsigned violations;    /* starts of a task that was running or done */
     GHashTable *active;     /* task's name -> number of runs */
     GHashTable *done;       /* names of tasks with a confirmed end */
-    unsigned crashes;       /* times that workers were crashed together */
-    /* The next worker that a task crashes keeps its id. */
-    bool keeps_id;
+    unsigned crash_rounds;  /* number of simultaneous crashes */
+    /* The next worker that a task crashes restarts under the same id. */
+    bool next_crash_keeps_id;
 };
 
 struct worker_server {
     struct platform *platform;
     char *id;
-    int64_t crashed_at_ms; /* time of its last crash */
+    int64_t crashed_at_ms; /* time of the last crash */
     int64_t downtime_ms;   /* time from that crash to its restart */
     bool keeps_id;         /* the next incarnation keeps the id */
     char *dc;
@@ -69,26 +69,27 @@
     struct cw_http_server *server;
 };
 
-/* A call that is handled by a thread of its own. */
+/* A call that is handled on a separate thread. */
 struct deferred_call {
     struct platform *platform;
     struct worker_server *worker;
     struct cw_http_call *call;
     int64_t until_ms;
-    int64_t boot_ms; /* boot time of the incarnation that it was sent to */
+    int64_t boot_ms; /* boot time of the called incarnation */
 };
 
 /* Time of the monotonic clock. */
 int64_t standin_now_ms(void);
 
-/* The same for the model of the workers, rounded down to steps: advancing
- * hundreds of workers for each call takes longer than the calls. */
+/* Time of the monotonic clock for the model of the workers, rounded down to
+ * steps: advancing hundreds of workers for each call takes longer than the
+ * calls. */
 int64_t standin_fleet_now_ms(void);
 
 /* Answers with `body` and releases it. */
 void standin_answer(struct cw_http_call *call, unsigned status, json_t *body);
 
-/* Handles a call by `run` on a new thread.  The call may wait `wait_ms`. */
+/* Handles a call with `run` on a new thread.  The call may wait `wait_ms`. */
 void
 standin_defer_call(struct platform *platform, struct worker_server *worker,
                    struct cw_http_call *call, int64_t wait_ms,
--- a/standins/platform_store.c
+++ b/standins/platform_store.c
@@ -1,4 +1,4 @@
-/* Store of the stand-in: the emulator's model behind HTTP. */
+/* Store of the stand-in: the emulator's model served over HTTP. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -123,7 +123,7 @@
     g_byte_array_unref(out);
 }
 
-/* Handles a read, which may wait for records, on a thread of its own. */
+/* Handles a read, which may wait for records, on a separate thread. */
 static void *
 wait_for_records(void *argument)
 {
--- a/standins/platform_workers.c
+++ b/standins/platform_workers.c
@@ -1,4 +1,4 @@
-/* Workers of the stand-in: the emulator's models behind HTTP. */
+/* Workers of the stand-in: the emulator's models served over HTTP. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,8 +14,8 @@
                         task->index);
 }
 
-/* Text of the end of a run: the job's id and the payload's echo if the run is
- * done and has one, else its checkpoint. */
+/* Text reported with a run's end: "JOB:ECHO" if the run ended as done and the
+ * job's payload has echo=, otherwise the run's checkpoint. */
 static char *
 end_text(struct platform *platform, const struct cw_ended *row)
 {
@@ -136,11 +136,11 @@
                   &order->task.index) == 3;
 }
 
-/* Remembers the payload of a start, as the model requests a task's plan by the
+/* Stores the payload of a start, since the model requests a task's plan by the
  * task's name only. */
 static void
-remember_payload(struct platform *platform,
-                 const struct cw_target_order *order, const json_t *body)
+store_payload(struct platform *platform, const struct cw_target_order *order,
+              const json_t *body)
 {
     const char *payload = json_string_value(json_object_get(body, "spec"));
 
@@ -169,7 +169,7 @@
         standin_answer(call, 400, json_object());
         goto done;
     }
-    remember_payload(platform, &order, body);
+    store_payload(platform, &order, body);
     deferred_call->until_ms +=
         order.kind == CW_ORDER_POLL
             ? json_integer_value(json_object_get(body, "wait_ms"))
@@ -185,8 +185,8 @@
         pthread_mutex_lock(&platform->lock);
         worker_fleet_advance(platform->fleet, standin_fleet_now_ms());
         worker = worker_fleet_find(platform->fleet, deferred_call->worker->id);
-        /* Orders that wait in a worker, or on a connection to it, are lost
-         * when its incarnation ends. */
+        /* Orders that wait in a worker, or on a connection to the worker, are
+         * lost when the worker's incarnation ends. */
         if (!worker_model_is_down(worker) &&
             deferred_call->boot_ms == worker_model_boot_ms(worker))
         {
@@ -205,7 +205,7 @@
         if (last) {
             break;
         }
-        order.lease_until_ms = 0; /* the lease was given on arrival */
+        order.lease_until_ms = 0; /* the lease was granted on arrival */
         g_usleep(POLL_INTERVAL_MS * 1000);
     }
 
@@ -240,7 +240,7 @@
 
 /* ---- callbacks of the model of the workers ---- */
 
-/* The number after "NAME=" in a payload, or `fallback`. */
+/* Returns the number after "NAME=" in a payload, or `fallback`. */
 static unsigned
 payload_number(const char *payload, const char *name, unsigned fallback)
 {
@@ -315,8 +315,9 @@
     g_hash_table_insert(platform->active, name, GUINT_TO_POINTER(0));
 }
 
-/* If one member of a gang is done, the whole gang is.  Only this member is
- * recorded, as the others aren't known here. */
+/* Records a task that is done.  If one member of a gang is done, so is the
+ * whole gang; only this member is recorded, since the other members' names are
+ * not available here. */
 static void
 on_confirmed(void *context, const char *worker,
              const struct cw_task_name *task, unsigned run,
@@ -340,7 +341,7 @@
 
     if (payload != NULL &&
         payload_number(payload, "crash", 0) == CRASH_KEEPS_ID) {
-        platform->keeps_id = true;
+        platform->next_crash_keeps_id = true;
     }
     printf("crashed task=%s worker=%s\n", name, worker);
     fflush(stdout);
@@ -358,10 +359,10 @@
         if (strcmp(server->id, worker_model_id(worker)) == 0) {
             server->crashed_at_ms = standin_now_ms();
             server->downtime_ms = CRASH_DOWNTIME_MS;
-            server->keeps_id = platform->keeps_id;
+            server->keeps_id = platform->next_crash_keeps_id;
         }
     }
-    platform->keeps_id = false;
+    platform->next_crash_keeps_id = false;
 }
 
 struct worker_listener
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -16,7 +16,7 @@
     "\"api_keys\":[\"k\"],\"guaranteed\":{\"gpus\":72}}],\"unknown\":1}";
 
 static void
-test_a_configuration_is_read_whole(void)
+test_a_configuration_is_decoded_completely(void)
 {
     char problem[64] = "";
     struct cw_routing *routing = platform_codec()->decode_routing(
@@ -38,7 +38,7 @@
 }
 
 static void
-test_what_is_no_configuration_is_refused(void)
+test_an_invalid_configuration_is_refused(void)
 {
     static const char *const bad[] = {
         "", "[]", "{", "{\"version\":0}", "{\"version\":\"x\"}", "null"};
@@ -67,7 +67,7 @@
 }
 
 static void
-test_a_worker_s_report_is_read(void)
+test_a_worker_s_report_is_decoded(void)
 {
     static const char text[] =
         "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\","
@@ -90,11 +90,11 @@
     (*(unsigned *)context)++;
 }
 
-/* Entries that other writers than workers add must not be taken for workers:
- * a member is missing or of another type, the state is not one of the two, or
+/* Entries of writers other than workers must not be decoded as workers: a
+ * member is missing or of another type, the state is not one of the two, or
  * the value is not JSON. */
 static void
-test_an_entry_of_another_writer_names_no_worker(void)
+test_an_entry_of_another_writer_is_ignored(void)
 {
     static const char whole[] =
         "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\","
@@ -153,7 +153,7 @@
 }
 
 static void
-test_a_job_is_read_with_its_steps(void)
+test_a_job_is_decoded_with_its_steps(void)
 {
     struct cw_work_spec spec;
     const struct cw_step_spec *step;
@@ -177,7 +177,7 @@
 }
 
 static void
-test_what_is_no_job_is_refused(void)
+test_an_invalid_job_is_refused(void)
 {
     static const char *const bad[] = {"",
                                       "{}",
@@ -195,7 +195,7 @@
 }
 
 static void
-test_numbers_out_of_range_are_none(void)
+test_numbers_out_of_range_are_ignored(void)
 {
     struct cw_work_spec spec;
 
@@ -208,13 +208,13 @@
 }
 
 static const struct test tests[] = {
-    {"configuration", test_a_configuration_is_read_whole},
-    {"no configuration", test_what_is_no_configuration_is_refused},
-    {"report", test_a_worker_s_report_is_read},
-    {"other writer", test_an_entry_of_another_writer_names_no_worker},
-    {"job", test_a_job_is_read_with_its_steps},
-    {"no job", test_what_is_no_job_is_refused},
-    {"numbers", test_numbers_out_of_range_are_none},
+    {"configuration", test_a_configuration_is_decoded_completely},
+    {"invalid configuration", test_an_invalid_configuration_is_refused},
+    {"report", test_a_worker_s_report_is_decoded},
+    {"other writer", test_an_entry_of_another_writer_is_ignored},
+    {"job", test_a_job_is_decoded_with_its_steps},
+    {"invalid job", test_an_invalid_job_is_refused},
+    {"numbers", test_numbers_out_of_range_are_ignored},
 };
 
 TEST_MAIN("platform", tests)
--- a/tests/test_store_model.c
+++ b/tests/test_store_model.c
@@ -1,5 +1,5 @@
-/* The emulator's store has the properties that the product relies on: fenced
- * writers, repeated appends, newest records, and the group. */
+/* Tests of the emulator's store: properties that the product depends on,
+ * namely fenced writers, repeated appends, newest records, and the group. */
 #include "test_main.h"
 
 #include "curlewcart/cw_time.h"
@@ -84,7 +84,7 @@
     CU_ASSERT_FALSE(assigned);
     store_model_reassign(model, 1, cw_time_from_ms(20)); /* to y */
     store_model_join(model, "y", 1000, cw_time_from_ms(30), &assigned);
-    CU_ASSERT_FALSE(assigned); /* x has not joined since */
+    CU_ASSERT_FALSE(assigned); /* x has not joined again yet */
     store_model_join(model, "x", 1000, cw_time_from_ms(40), &assigned);
     CU_ASSERT_FALSE(assigned);
     store_model_join(model, "y", 1000, cw_time_from_ms(50), &assigned);
--- a/tests/test_world.c
+++ b/tests/test_world.c
@@ -9,8 +9,8 @@
 #include "emulator/world.h"
 
 enum {
-    FIXED_SEED = 500000,
-    FIXED_DAYS = 250,
+    STANDARD_SEED = 500000,
+    STANDARD_DAYS = 250,
     CRASHING_SEED = 900000,
     CRASHING_DAYS = 100,
     CRASHING_PERCENT = 5,
@@ -49,15 +49,15 @@
 }
 
 static void
-test_days_of_fixed_seeds_keep_every_guarantee(void)
+test_standard_days_violate_no_guarantee(void)
 {
-    for (uint32_t i = 0; i < FIXED_DAYS; i++) {
-        CU_ASSERT_TRUE(runs_clean(FIXED_SEED + i));
+    for (uint32_t i = 0; i < STANDARD_DAYS; i++) {
+        CU_ASSERT_TRUE(runs_clean(STANDARD_SEED + i));
     }
 }
 
 static void
-test_the_same_seed_is_the_same_day(void)
+test_the_same_seed_gives_the_same_day(void)
 {
     struct world_options options = day(4711);
     struct world_result first;
@@ -94,8 +94,8 @@
 }
 
 /* One job in twenty has a task that crashes each worker that starts it; the
- * worker restarts after 1 to 9 s.  Before such tasks were given up, on 71 of
- * the 100 days one was started more than twice after it had crashed three
+ * worker restarts after 1 to 9 s.  Such tasks are given up; otherwise, on 71
+ * of the 100 days a task is started more than twice after it has crashed three
  * workers (see test_crashes). */
 static void
 test_tasks_that_crash_workers_are_given_up(void)
@@ -119,12 +119,12 @@
 }
 
 /* Crashing tasks, shrinking workers, and workers that ignore their capacity,
- * together.  On seed 2200208 a job waited forever because of a fault in the
- * emulator: a worker that crashed while it was shrunk never got its capacity
- * back, and the only data centre that the job may run in had one unshrunk
- * worker left. */
+ * in combination.  Regression test for a fault of the emulator on seed
+ * 2200208: a worker that crashed while its capacity was reduced never got the
+ * capacity back, the only data centre that a job may run in had one worker
+ * with full capacity left, and the job waited forever. */
 static void
-test_all_faults_of_workers_together(void)
+test_combined_worker_faults(void)
 {
     struct world_options options = day(2200208);
     struct world_result result;
@@ -139,9 +139,9 @@
 }
 
 /* Six times a day workers crash and restart under their ids: alone or
- * together, within their lease or after it, twice in a row, while cut off.
- * Before VMs distinguished incarnations with the same id, tasks were done
- * twice on 93 of the 100 days (see test_restarts). */
+ * together, within their lease or after it, twice in a row, while
+ * disconnected.  VMs distinguish incarnations with the same id; otherwise,
+ * tasks are done twice on 93 of the 100 days (see test_restarts). */
 static void
 test_workers_that_restart_under_their_ids(void)
 {
@@ -163,8 +163,8 @@
     CU_ASSERT_EQUAL(clean, RESTARTS_DAYS);
 }
 
-/* Simulates days without faults other than late workers; returns how many
- * have no violation. */
+/* Simulates days without faults other than late workers; returns the number of
+ * days without a violation. */
 static unsigned
 calm_days(unsigned days, bool wide, unsigned late_episodes)
 {
@@ -191,31 +191,33 @@
     return clean;
 }
 
-/* However full the service is, a job that could run does so within 3 s.  On 6
- * of 100 such days, and on 5 with late workers, jobs once waited longer beside
- * free capacity that was reserved for other work (see test_idle_causes). */
+/* On days without faults, a job for which there is capacity starts within 3 s,
+ * however full the service is.  Regression test: on 6 of 100 days, and on 5 of
+ * 100 with late workers, jobs waited longer although capacity was free,
+ * because it was reserved for other work (see test_idle_causes). */
 static void
-test_no_job_waits_without_cause_on_a_calm_day(void)
+test_runnable_jobs_start_on_a_calm_day(void)
 {
     CU_ASSERT_EQUAL(calm_days(CALM_DAYS, false, 0), CALM_DAYS);
     CU_ASSERT_EQUAL(calm_days(CALM_DAYS, false, LATE_EPISODES), CALM_DAYS);
 }
 
-/* The same where jobs need far more than there is; this once failed on 47 of
- * 48 days. */
+/* The same property on days on which jobs need far more capacity than the
+ * service has.  Regression test: jobs waited longer than 3 s on 47 of 48
+ * days. */
 static void
-test_no_job_waits_without_cause_on_a_wide_day(void)
+test_runnable_jobs_start_on_a_wide_day(void)
 {
     CU_ASSERT_EQUAL(calm_days(WIDE_DAYS, true, 0), WIDE_DAYS);
     CU_ASSERT_EQUAL(calm_days(WIDE_DAYS, true, LATE_EPISODES), WIDE_DAYS);
 }
 
-/* On this day a task that takes a whole worker once waited for 3 s beside two
- * free workers: other waiting jobs had borrowed all of the reserved headroom
- * that may be borrowed.  Without a limit on borrowing the day has no
- * violation. */
+/* Regression test: a task that needs a whole worker waited for 3 s although
+ * two workers were free, because other waiting jobs had borrowed all of the
+ * reserved headroom that may be borrowed.  Without a limit on borrowing, this
+ * day has no violation. */
 static void
-test_a_job_waits_beside_reserved_headroom(void)
+test_borrowed_headroom_does_not_delay_a_job(void)
 {
     struct world_options options = day(900117);
     struct world_result result;
@@ -227,24 +229,24 @@
     g_free(result.faults);
 }
 
-/* Seeds that once ended with a violation, each with its cause: a fault of the
- * checker, of the emulator's load, or of the product. */
+/* Regression test: seeds that led to a violation, each with the cause, a fault
+ * of the checker, of the emulator's load, or of the product. */
 static void
-test_seeds_that_once_failed(void)
+test_regression_seeds(void)
 {
     static const uint32_t seeds[] = {
         11,   /* checker: missed a lease that expired between two runs */
-        29,   /* checker: a job refused before its caller had an answer */
+        29,   /* checker: a job was refused before its caller had an answer */
         364,  /* checker: a gang with a member whose worker had crashed */
-        6494, /* a VM showed a job as cancelled before it read its end */
+        6494, /* a VM reported a job as cancelled before it read the end */
         5770, /* the record of a job's end was written again, after a
                  cancellation */
         5663, /* an owner dropped a job before its replica had read its end */
         6005, /* a second attempt to cancel replaced the first one's entry */
         7003259, /* a new owner's first poll hid that a lease had expired */
         950258,  /* load: three of four workers of a data centre drained */
-        7000554, /* load: an at-most-once job larger than what guarantees
-                    leave */
+        7000554, /* load: an at-most-once job larger than the capacity that
+                    guarantees leave */
     };
 
     for (size_t i = 0; i < G_N_ELEMENTS(seeds); i++) {
@@ -253,16 +255,16 @@
 }
 
 static const struct test tests[] = {
-    {"fixed seeds", test_days_of_fixed_seeds_keep_every_guarantee},
-    {"same seed, same day", test_the_same_seed_is_the_same_day},
+    {"standard days", test_standard_days_violate_no_guarantee},
+    {"same seed, same day", test_the_same_seed_gives_the_same_day},
     {"calm day", test_every_job_of_a_calm_day_ends},
-    {"reserved headroom", test_a_job_waits_beside_reserved_headroom},
-    {"seeds that once failed", test_seeds_that_once_failed},
+    {"borrowed headroom", test_borrowed_headroom_does_not_delay_a_job},
+    {"regression seeds", test_regression_seeds},
     {"crashing tasks", test_tasks_that_crash_workers_are_given_up},
-    {"all faults of workers", test_all_faults_of_workers_together},
+    {"combined worker faults", test_combined_worker_faults},
     {"restarts", test_workers_that_restart_under_their_ids},
-    {"calm days", test_no_job_waits_without_cause_on_a_calm_day},
-    {"wide days", test_no_job_waits_without_cause_on_a_wide_day},
+    {"calm days", test_runnable_jobs_start_on_a_calm_day},
+    {"wide days", test_runnable_jobs_start_on_a_wide_day},
 };
 
 TEST_MAIN("world", tests)
--- a/tests/work_spec.h
+++ b/tests/work_spec.h
@@ -19,7 +19,7 @@
     uint64_t body_hash;
 };
 
-/* Encodes the specification.  Owned by the caller. */
+/* Encodes the specification.  The caller owns the result. */
 static inline GByteArray *
 work_spec_encode(const struct work_spec_options *options)
 {
--- a/tools/bench/bench.h
+++ b/tools/bench/bench.h
@@ -5,7 +5,7 @@
 #include <stdint.h>
 #include <glib.h>
 
-/* What the command line gives. */
+/* Command line options. */
 struct bench_options {
     const char *mode;
     uint32_t seed;
@@ -18,8 +18,8 @@
     unsigned requests;
 };
 
-/* Mode place: measures a placement pass with many waiting tasks.  Prints the
- * result; returns an exit status. */
+/* Mode place: measures the duration of a placement pass with many waiting
+ * tasks.  Prints the result; returns an exit status. */
 int bench_place(const struct bench_options *options);
 
 /* Mode load: many concurrent callers of one daemon, each of which must get its
--- a/tools/bench/bench_load.c
+++ b/tools/bench/bench_load.c
@@ -1,4 +1,5 @@
-/* Many concurrent callers; each must get a whole answer to its own request. */
+/* Load from many concurrent callers, each of which must get a complete answer
+ * to its own request. */
 #include <pthread.h>
 #include <stdbool.h>
 #include <stdio.h>
@@ -18,14 +19,14 @@
 
 struct load {
     const struct bench_options *options;
-    pthread_mutex_t lock; /* guards the members below */
-    unsigned next;        /* index of the next request */
+    pthread_mutex_t lock;  /* guards the members below */
+    unsigned next_request; /* index of the next request */
     unsigned completed;
-    unsigned other;     /* a whole answer with another outcome */
-    unsigned crossed;   /* the answer to another request */
-    unsigned errors;    /* no whole answer, though connected */
-    unsigned unsent;    /* no connection */
-    GArray *latency_ms; /* double, of completed requests */
+    unsigned other_outcome; /* complete answers with another outcome */
+    unsigned misdirected;   /* answers to another request */
+    unsigned errors;        /* connected, but no complete answer */
+    unsigned unsent;        /* requests without a connection */
+    GArray *latency_ms;     /* double, of completed requests */
 };
 
 static size_t
@@ -41,15 +42,15 @@
     bool more;
 
     pthread_mutex_lock(&load->lock);
-    *index = load->next;
-    more = load->next < load->options->requests;
-    load->next += more;
+    *index = load->next_request;
+    more = load->next_request < load->options->requests;
+    load->next_request += more;
     pthread_mutex_unlock(&load->lock);
     return more;
 }
 
-/* Counts the answer by its kind.  It must name this request's id and, if the
- * job is completed, contain this request's echo. */
+/* Counts the answer by its kind.  The answer must name this request's id and,
+ * if the job is completed, contain this request's echo. */
 static void
 count_answer(struct load *load, const char *text, unsigned index, double ms)
 {
@@ -72,14 +73,14 @@
              (strcmp(outcome, "completed") == 0 &&
               (result == NULL || strcmp(result, expected_result) != 0)))
     {
-        load->crossed++;
+        load->misdirected++;
     }
     else if (strcmp(outcome, "completed") == 0) {
         load->completed++;
         g_array_append_val(load->latency_ms, ms);
     }
     else {
-        load->other++;
+        load->other_outcome++;
     }
     pthread_mutex_unlock(&load->lock);
     g_free(expected_id);
@@ -173,12 +174,12 @@
     printf("bench=load callers=%u requests=%u completed=%u other=%u "
            "errors=%u unsent=%u crossed=%u per_second=%.0f p50_ms=%.1f "
            "p99_ms=%.1f\n",
-           callers, options->requests, load.completed, load.other, load.errors,
-           load.unsent, load.crossed, options->requests / seconds,
-           bench_percentile(load.latency_ms, 0.5),
+           callers, options->requests, load.completed, load.other_outcome,
+           load.errors, load.unsent, load.misdirected,
+           options->requests / seconds, bench_percentile(load.latency_ms, 0.5),
            bench_percentile(load.latency_ms, 0.99));
     g_array_unref(load.latency_ms);
     pthread_mutex_destroy(&load.lock);
     g_free(threads);
-    return load.crossed == 0 && load.errors == 0 ? 0 : 2;
+    return load.misdirected == 0 && load.errors == 0 ? 0 : 2;
 }
--- a/tools/bench/bench_place.c
+++ b/tools/bench/bench_place.c
@@ -1,6 +1,6 @@
-/* Duration of a placement pass over waiting tasks with busy workers, and for
- * comparison of a first-fit scan over the same workers and tasks, in the same
- * run. */
+/* Measures the duration of a placement pass over waiting tasks with busy
+ * workers and, for comparison, of a first-fit scan over the same workers and
+ * tasks in the same run. */
 #include <stdio.h>
 #include <string.h>
 
@@ -31,8 +31,8 @@
     }
 }
 
-/* Duration of a pass that only finds, for each waiting job, the first worker
- * with a free accelerator. */
+/* Measures the duration of a pass that only finds, for each waiting job, the
+ * first worker with a free accelerator. */
 static double
 measure_first_fit_us(const struct cluster *cluster, unsigned jobs)
 {
--- a/tools/proxy/proxy.c
+++ b/tools/proxy/proxy.c
@@ -37,7 +37,8 @@
 
 enum {
     CHUNK_BYTES = 16 * 1024,
-    /* No more is read from a peer while so much waits for the other one. */
+    /* No bytes are read from a peer while this many are queued for the other
+     * peer. */
     QUEUE_BYTES_MAX = 4 * 1024 * 1024,
     POLL_MAX_MS = 1000,
     BACKLOG = 128,
@@ -62,7 +63,8 @@
     struct timespec due;
 };
 
-/* One direction of a connection: bytes are read from `from` for `to`. */
+/* One direction of a connection: bytes are read from `from` and sent to
+ * `to`. */
 struct stream {
     int from;
     int to;
@@ -75,8 +77,8 @@
 struct connection {
     struct link *link;
     struct stream streams[DIRECTIONS];
-    bool silent; /* forwards nothing, for good */
-    bool broken; /* a socket failed, or is to be reset */
+    bool stalled; /* permanently forwards nothing */
+    bool broken;  /* a socket failed, or the connection is to be reset */
 };
 
 struct proxy {
@@ -115,7 +117,7 @@
     g_free(connection);
 }
 
-/* Makes closing the socket send a reset. */
+/* Sets the socket to send a reset when it is closed. */
 static void
 reset_on_close(int socket)
 {
@@ -140,7 +142,7 @@
         connect(server, (struct sockaddr *)&link->server,
                 sizeof(link->server)) != 0)
     {
-        reset_on_close(client); /* as for a port without a listener */
+        reset_on_close(client); /* as a port without a listener does */
         close(client);
         close(server);
         return;
@@ -180,8 +182,8 @@
     g_queue_push_tail(&stream->chunks, chunk);
 }
 
-/* Sends the rest of the chunk.  Returns false if the peer accepts no more now,
- * or on an error. */
+/* Sends the rest of the chunk.  Returns false if the peer currently accepts no
+ * more bytes, or on an error. */
 static bool
 write_chunk(struct connection *connection, struct stream *stream,
             struct chunk *chunk)
@@ -206,7 +208,7 @@
     struct stream *stream = &connection->streams[direction];
     struct chunk *chunk;
 
-    if (connection->silent || connection->link->cut[direction]) {
+    if (connection->stalled || connection->link->cut[direction]) {
         return;
     }
     while ((chunk = g_queue_peek_head(&stream->chunks)) != NULL &&
@@ -311,7 +313,7 @@
 apply_to_connection(struct connection *connection, const char *verb)
 {
     if (strcmp(verb, "silence") == 0) {
-        connection->silent = true;
+        connection->stalled = true;
     }
     else if (strcmp(verb, "reset") == 0 || strcmp(verb, "refuse") == 0) {
         reset_on_close(connection->streams[UP].from);
@@ -385,7 +387,7 @@
     if (!stream->ended && stream->queued_bytes < QUEUE_BYTES_MAX) {
         events |= POLLIN;
     }
-    if (head != NULL && !connection->silent &&
+    if (head != NULL && !connection->stalled &&
         !connection->link->cut[1 - direction] &&
         !cw_time_before(now(), head->due))
     {
@@ -407,7 +409,7 @@
             struct chunk *head =
                 g_queue_peek_head(&connection->streams[d].chunks);
 
-            if (head != NULL && !connection->silent &&
+            if (head != NULL && !connection->stalled &&
                 !connection->link->cut[d] && cw_time_before(now(), head->due))
             {
                 timeout_ms =
@@ -421,8 +423,8 @@
 static void
 add_poll_entry(GArray *polls, int descriptor, short events)
 {
-    /* poll() ignores a negative descriptor.  Without events it would still
-     * report a hang-up, in every call. */
+    /* poll() ignores a negative descriptor.  With events == 0, poll() would
+     * still report a hang-up on each call. */
     struct pollfd entry = {.fd = events != 0 ? descriptor : -1,
                            .events = events};
 
