--- a/emulator/world_net.c
+++ b/emulator/world_net.c
@@ -53,7 +53,7 @@
     struct call *call = context;
 
     (void)world;
-    world_call_answer(call, CW_STORE_REFUSED);
+    world_call_answer(call, CW_STORE_NOT_EXECUTED);
     world_call_unref(call);
 }
 
--- a/include/curlewcart/cw_relay.h
+++ b/include/curlewcart/cw_relay.h
@@ -4,9 +4,9 @@
  * The platform's store may serve some VMs and not others.  A relay implements
  * struct cw_store: it sends calls directly to the platform's store while that
  * works, and otherwise through a VM that can reach the store, by ONC RPC over
- * UDP (program CW_RELAY_PROGRAM of cw_proto.x).  CW_STORE_REFUSED has the same
- * meaning as from the platform's store: a call that may have been carried out,
- * directly or by any VM that it was sent through, never ends with it.
+ * UDP (program CW_RELAY_PROGRAM of cw_proto.x).  CW_STORE_NOT_EXECUTED has the
+ * same meaning as from the platform's store: a call that may have been carried
+ * out, directly or by any VM that it was sent through, never ends with it.
  *
  * Messages are authenticated with a key that the VMs store in the platform's
  * store.  Anyone who can reach a VM's relay port (the setting listen.inner),
--- a/include/curlewcart/cw_store.h
+++ b/include/curlewcart/cw_store.h
@@ -14,7 +14,7 @@
 
 enum cw_store_status {
     CW_STORE_OK,
-    CW_STORE_REFUSED, /* not executed: busy, rate limit, unreachable */
+    CW_STORE_NOT_EXECUTED, /* not executed: busy, rate limit, unreachable */
     CW_STORE_UNKNOWN, /* no answer: may or may not be executed, now or later */
     CW_STORE_CONFLICT, /* the partition does not end at `expected_end` */
     CW_STORE_FENCED,   /* a writer with a higher epoch has appended */
--- a/src/base/cw_status_names.c
+++ b/src/base/cw_status_names.c
@@ -10,7 +10,7 @@
 {
     static const char *const names[] = {
         [CW_STORE_OK] = "ok",
-        [CW_STORE_REFUSED] = "refused",
+        [CW_STORE_NOT_EXECUTED] = "refused",
         [CW_STORE_UNKNOWN] = "no_answer",
         [CW_STORE_CONFLICT] = "conflict",
         [CW_STORE_FENCED] = "fenced",
--- a/src/relay/internal/relay_private.h
+++ b/src/relay/internal/relay_private.h
@@ -95,7 +95,7 @@
                  const struct relay_requester *requester,
                  const struct cw_relay_request *request);
 
-/* Answers CW_STORE_REFUSED, as this VM cannot reach the store either. */
+/* Answers CW_STORE_NOT_EXECUTED, as this VM cannot reach the store either. */
 void relay_serve_refuse(struct relay_server *server,
                         const struct relay_requester *requester);
 
--- a/src/relay/relay.c
+++ b/src/relay/relay.c
@@ -144,8 +144,9 @@
 static void
 deliver_failure(struct relay_call *call)
 {
-    struct cw_relay_answer answer = {
-        .status = call->outcome_unknown ? CW_STORE_UNKNOWN : CW_STORE_REFUSED};
+    struct cw_relay_answer answer = {.status = call->outcome_unknown
+                                                   ? CW_STORE_UNKNOWN
+                                                   : CW_STORE_NOT_EXECUTED};
 
     deliver(call, &answer);
 }
@@ -158,12 +159,12 @@
 handle_direct_failure(struct relay_call *call, enum cw_store_status status)
 {
     relay_record_direct_status(call->relay, status);
-    if (status != CW_STORE_REFUSED && status != CW_STORE_UNKNOWN) {
+    if (status != CW_STORE_NOT_EXECUTED && status != CW_STORE_UNKNOWN) {
         return false;
     }
     call->outcome_unknown =
         call->outcome_unknown || status == CW_STORE_UNKNOWN;
-    if (status == CW_STORE_REFUSED && call->relay->store_reachable) {
+    if (status == CW_STORE_NOT_EXECUTED && call->relay->store_reachable) {
         deliver_failure(call); /* a first refusal: the caller retries */
     }
     else {
@@ -266,7 +267,7 @@
     if (answer != NULL && peer != NULL) {
         peer->answered_at = now;
     }
-    if (answer != NULL && answer->status != CW_STORE_REFUSED &&
+    if (answer != NULL && answer->status != CW_STORE_NOT_EXECUTED &&
         answer->status != CW_STORE_UNKNOWN)
     {
         cw_count_add(relay->options.counters, CW_COUNT_RELAYED, 1);
@@ -280,7 +281,7 @@
         peer->avoid_until = cw_time_add_ms(now, PEER_AVOID_MS);
     }
     call->peers_refused +=
-        answer != NULL && answer->status == CW_STORE_REFUSED;
+        answer != NULL && answer->status == CW_STORE_NOT_EXECUTED;
     if (call->peers_refused == PEERS_TRIED_MAX) {
         relay->peers_paused_until = cw_time_add_ms(now, PEERS_PAUSE_MS);
     }
--- a/src/relay/relay_peers.c
+++ b/src/relay/relay_peers.c
@@ -45,7 +45,7 @@
 void
 relay_record_direct_status(struct cw_relay *relay, enum cw_store_status status)
 {
-    if (status != CW_STORE_REFUSED && status != CW_STORE_UNKNOWN) {
+    if (status != CW_STORE_NOT_EXECUTED && status != CW_STORE_UNKNOWN) {
         if (!relay->store_reachable) {
             cw_log_info(
                 "dependency_regained", "what=store away_ms=%" PRId64,
--- a/src/relay/relay_serve.c
+++ b/src/relay/relay_serve.c
@@ -84,7 +84,7 @@
         count++;
     }
     if (count == 0 && page->count > 0) {
-        answer.status = CW_STORE_REFUSED; /* too large for a datagram */
+        answer.status = CW_STORE_NOT_EXECUTED; /* too large for a datagram */
     }
     answer.records.records_val = records;
     answer.records.records_len = count;
@@ -116,7 +116,7 @@
 relay_serve_refuse(struct relay_server *server,
                    const struct relay_requester *requester)
 {
-    struct cw_relay_answer answer = {.status = CW_STORE_REFUSED};
+    struct cw_relay_answer answer = {.status = CW_STORE_NOT_EXECUTED};
 
     relay_rpc_answer(server->rpc, requester, &answer);
 }
--- a/src/replica/follower.c
+++ b/src/replica/follower.c
@@ -97,7 +97,7 @@
                        follower->position);
     }
     follower->at_end = false;
-    if (status == CW_STORE_REFUSED) {
+    if (status == CW_STORE_NOT_EXECUTED) {
         follower->refused_interval_ms =
             CLAMP(follower->refused_interval_ms * 2, REFUSED_INTERVAL_MIN_MS,
                   REFUSED_INTERVAL_MAX_MS);
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -281,7 +281,7 @@
     run_steps(&fixture);
     cw_follower_set_read_interval(cw_replica_follower(fixture.replica), 60000);
     run_steps(&fixture);
-    fixture.fake.answer_status = CW_STORE_REFUSED;
+    fixture.fake.answer_status = CW_STORE_NOT_EXECUTED;
     query(&fixture);
     step(&fixture);
     CU_ASSERT_EQUAL(fixture.answers, 0);
--- a/tests/test_epochs.c
+++ b/tests/test_epochs.c
@@ -293,7 +293,7 @@
 static void
 test_no_owner_is_active_before_its_epoch_is_stored(void)
 {
-    static const enum cw_store_status statuses[] = {CW_STORE_REFUSED,
+    static const enum cw_store_status statuses[] = {CW_STORE_NOT_EXECUTED,
                                                     CW_STORE_UNKNOWN};
 
     for (unsigned i = 0; i < G_N_ELEMENTS(statuses); i++) {
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -118,7 +118,7 @@
     fixture_begin(&fixture);
     advance_ms(&fixture, 1000);
     before = fixture.fake.reads; /* ten per second */
-    fixture.fake.answer_status = CW_STORE_REFUSED;
+    fixture.fake.answer_status = CW_STORE_NOT_EXECUTED;
     advance_ms(&fixture, 2000);
     fixture.fake.answer_status = CW_STORE_OK;
     advance_ms(&fixture, 1000);
--- a/tests/test_group.c
+++ b/tests/test_group.c
@@ -150,7 +150,7 @@
 
     vm_begin(&vm, STRONG_MILLI);
     announce(&vm, "other", STRONG_MILLI);
-    vm.store.answer_status = CW_STORE_REFUSED;
+    vm.store.answer_status = CW_STORE_NOT_EXECUTED;
     run(&vm, 1000, false);
     CU_ASSERT_EQUAL(vm.joins, 0);
     vm.store.answer_status = CW_STORE_OK;
@@ -197,7 +197,7 @@
     vm_begin(&vm, WEAK_MILLI);
     announce_strong(&vm);
     run(&vm, 1000, true);
-    vm.store.answer_status = CW_STORE_REFUSED;
+    vm.store.answer_status = CW_STORE_NOT_EXECUTED;
     run(&vm, 10000, false);
     vm.store.answer_status = CW_STORE_OK;
     run(&vm, 2000, false);
--- a/tests/test_lease_notes.c
+++ b/tests/test_lease_notes.c
@@ -120,7 +120,7 @@
     run_answering_polls(&fixture, 500);
     target = the_worker(&fixture);
     fixture.owner->join_in_flight = true; /* no joins confirm ownership */
-    fixture.store.answer_status = CW_STORE_REFUSED;
+    fixture.store.answer_status = CW_STORE_NOT_EXECUTED;
     run(&fixture, 1500);
     CU_ASSERT_FALSE(owner_may_order(fixture.owner, fixture.clock.now));
     target->unanswered_polls = 3;
--- a/tests/test_owner_log.c
+++ b/tests/test_owner_log.c
@@ -145,7 +145,7 @@
 
     fixture_begin(&fixture);
     owner_log_open(fixture.log, 3);
-    fixture.store.answer_status = CW_STORE_REFUSED;
+    fixture.store.answer_status = CW_STORE_NOT_EXECUTED;
     send(&fixture, "a");
     run(&fixture, 1000);
     CU_ASSERT_EQUAL(fixture.stored, 0);
@@ -211,7 +211,7 @@
 
     fixture_begin(&fixture);
     owner_log_open(fixture.log, 3);
-    fixture.store.answer_status = CW_STORE_REFUSED;
+    fixture.store.answer_status = CW_STORE_NOT_EXECUTED;
     send(&fixture, "a");
     owner_log_close(fixture.log);
     fixture.store.answer_status = CW_STORE_OK;
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -122,8 +122,9 @@
 
     pair_init(&pair);
     CU_ASSERT_EQUAL(append(&pair), CW_STORE_OK);
-    pair.stores[0].answer_status = CW_STORE_REFUSED;
-    CU_ASSERT_EQUAL(append(&pair), CW_STORE_REFUSED); /* a single refusal */
+    pair.stores[0].answer_status = CW_STORE_NOT_EXECUTED;
+    CU_ASSERT_EQUAL(append(&pair),
+                    CW_STORE_NOT_EXECUTED); /* a single refusal */
     CU_ASSERT_EQUAL(append(&pair), CW_STORE_OK);
     pair.stores[0].answer_status = CW_STORE_UNKNOWN;
     CU_ASSERT_EQUAL(append(&pair), CW_STORE_OK);
@@ -139,9 +140,9 @@
     struct pair pair;
 
     pair_init(&pair);
-    pair.stores[0].answer_status = CW_STORE_REFUSED;
-    pair.stores[1].answer_status = CW_STORE_REFUSED;
-    CU_ASSERT_EQUAL(append(&pair), CW_STORE_REFUSED);
+    pair.stores[0].answer_status = CW_STORE_NOT_EXECUTED;
+    pair.stores[1].answer_status = CW_STORE_NOT_EXECUTED;
+    CU_ASSERT_EQUAL(append(&pair), CW_STORE_NOT_EXECUTED);
     pair.stores[0].answer_status = CW_STORE_UNKNOWN;
     CU_ASSERT_EQUAL(append(&pair), CW_STORE_UNKNOWN);
     for (int i = 0; i < STEPS_MAX / 2; i++) {
@@ -210,7 +211,7 @@
     pair_init(&pair);
     CU_ASSERT_EQUAL(read_some(&pair, 128), CW_STORE_OK);
     CU_ASSERT_EQUAL(pair.stores[0].most_kb, 128);
-    pair.stores[0].answer_status = CW_STORE_REFUSED;
+    pair.stores[0].answer_status = CW_STORE_NOT_EXECUTED;
     (void)read_some(&pair, 128);
     CU_ASSERT_EQUAL(read_some(&pair, 128), CW_STORE_OK);
     /* The answer returns in a datagram of at most 60,000 bytes. */
--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -225,7 +225,7 @@
     take_over(&fixture);
     fixture.owner->yielding = true;
     fixture.owner->join_in_flight = true;
-    fixture.store.answer_status = CW_STORE_REFUSED;
+    fixture.store.answer_status = CW_STORE_NOT_EXECUTED;
     run(&fixture, 1500);
     CU_ASSERT_FALSE(cw_owner_active(fixture.owner));
     fixture_end(&fixture);
