--- a/emulator/checker.h
+++ b/emulator/checker.h
@@ -1,5 +1,5 @@
 /* Checks the service's guarantees on a simulated day.  Uses only events that
- * workers and callers observe, never the product's own state. */
+ * workers and callers observe, never the scheduler's own state. */
 #ifndef CURLEWCART_EMULATOR_CHECKER_H
 #define CURLEWCART_EMULATOR_CHECKER_H
 
--- a/emulator/emulator_main.c
+++ b/emulator/emulator_main.c
@@ -308,7 +308,7 @@
 }
 
 /* Simulates one day of any size without faults and prints the processor time
- * that the product's code uses. */
+ * that the scheduler's code uses. */
 static int
 run_size(const struct arguments *arguments)
 {
--- a/emulator/internal/world_private.h
+++ b/emulator/internal/world_private.h
@@ -30,7 +30,7 @@
     void *context;
 };
 
-/* A VM that runs the product's code; each restart is a new incarnation. */
+/* A VM that runs the scheduler's code; each restart is a new incarnation. */
 struct vm {
     struct cw_store store; /* first, so that a store's pointer is the VM's */
     struct vm_targets {
@@ -54,7 +54,7 @@
     GPtrArray *calls;   /* struct call, in flight */
     GPtrArray *clients; /* struct client_call, waiting for an answer */
     unsigned takeovers;
-    double cpu_s; /* processor time of the product's code */
+    double cpu_s; /* processor time of the scheduler's code */
 };
 
 struct world {
@@ -306,8 +306,8 @@
 /* Checks for jobs that could run and do not; call it regularly. */
 void world_check_waits(struct world *world);
 
-/* True if the job's account and the job itself permit the data centre;
- * independent of the product's code. */
+/* True if the job's account and the job itself permit the data centre.  Does
+ * not use the scheduler's code. */
 bool world_may_run_in(const struct world *world, const struct checker_job *job,
                       const char *dc);
 
--- a/emulator/store_model.c
+++ b/emulator/store_model.c
@@ -119,7 +119,7 @@
 {
     struct store_model *model = g_new0(struct store_model, 1);
 
-    (void)partitions; /* the product uses one */
+    (void)partitions; /* the scheduler uses one */
     model->topics =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, topic_free);
     model->members = g_ptr_array_new_with_free_func(member_free);
--- a/emulator/world.h
+++ b/emulator/world.h
@@ -1,7 +1,7 @@
 /* Simulates a deployment in one process under one virtual clock: models of the
- * store and of the workers, VMs that run the product's own code, and a network
- * between them with delays, losses and partitions.  A day is one run of the
- * simulation; the same seed gives the same day. */
+ * store and of the workers, VMs that run the scheduler's own code, and a
+ * network between them with delays, losses and partitions.  A day is one run
+ * of the simulation; the same seed gives the same day. */
 #ifndef CURLEWCART_EMULATOR_WORLD_H
 #define CURLEWCART_EMULATOR_WORLD_H
 
@@ -47,7 +47,7 @@
     char *faults;    /* the faults that occurred; owned by the caller */
     struct checker_counts counts;
     unsigned takeovers;
-    double busiest_vm_cpu_s; /* processor time of the product's code in the
+    double busiest_vm_cpu_s; /* processor time of the scheduler's code in the
                                 busiest VM */
     double all_vms_cpu_s;    /* total of all VMs */
 };
--- a/emulator/world_late.c
+++ b/emulator/world_late.c
@@ -3,17 +3,17 @@
 #include "emulator/internal/world_private.h"
 
 enum {
-    LATE_MIN_MS = 500,
+    LATE_DURATION_MIN_MS = 500,
     /* Equal to the time for which a worker that repeatedly goes down and up is
      * unavailable. */
-    LATE_MAX_MS = 1500,
+    LATE_DURATION_MAX_MS = 1500,
     /* One way; the sum of both ways is sometimes shorter and sometimes longer
      * than the timeout of an order. */
     ADDED_ONE_WAY_MAX_MS = 350,
     /* Percentage of late workers that reset each connection; the others only
      * delay. */
     RESETTING_PERCENT = 50,
-    /* At most one of this many workers is late at a time. */
+    /* An episode affects at most one of this many workers. */
     LATE_ONE_IN = 4
 };
 
@@ -34,7 +34,8 @@
     (void)context;
     for (unsigned i = 0; i < count; i++) {
         const char *id = worker_model_id(world_random_worker(world));
-        unsigned ms = world_random_between(world, LATE_MIN_MS, LATE_MAX_MS);
+        unsigned ms = world_random_between(world, LATE_DURATION_MIN_MS,
+                                           LATE_DURATION_MAX_MS);
 
         world_record_fault(world, "late %s for %u", id, ms);
         g_hash_table_insert(world->late_workers, (gpointer)id,
--- a/emulator/world_vms.c
+++ b/emulator/world_vms.c
@@ -1,4 +1,4 @@
-/* VMs: each incarnation runs the product's own objects. */
+/* VMs: each incarnation runs the scheduler's own objects. */
 #include "emulator/internal/world_private.h"
 
 #include <string.h>
--- a/emulator/world_waits.c
+++ b/emulator/world_waits.c
@@ -1,5 +1,5 @@
 /* Finds jobs that could run and do not, however full the service is.  Uses
- * only the workers' runs and none of the product's state, so that such jobs
+ * only the workers' runs and none of the scheduler's state, so that such jobs
  * are found whatever the cause. */
 #include "emulator/internal/world_private.h"
 
--- a/include/curlewcart/cw_codec.h
+++ b/include/curlewcart/cw_codec.h
@@ -1,4 +1,4 @@
-/* Decoder of the platform's records that the product reads from the store. */
+/* Decodes the platform's records that the scheduler reads from the store. */
 #ifndef CURLEWCART_CW_CODEC_H
 #define CURLEWCART_CW_CODEC_H
 
--- a/include/curlewcart/cw_count.h
+++ b/include/curlewcart/cw_count.h
@@ -37,14 +37,14 @@
     X(TAKEOVER, "takeover_ms", "from gaining a shard to deciding")
 
 enum cw_latency {
-#define CW_LATENCY_SYMBOL(symbol, name, text) CW_LATENCY_##symbol,
+#define CW_LATENCY_SYMBOL(symbol, name, help) CW_LATENCY_##symbol,
     CW_LATENCY_TABLE(CW_LATENCY_SYMBOL)
 #undef CW_LATENCY_SYMBOL
         CW_LATENCY_TOTAL
 };
 
 enum cw_counter {
-#define CW_COUNTER_SYMBOL(symbol, name, text) CW_COUNT_##symbol,
+#define CW_COUNTER_SYMBOL(symbol, name, help) CW_COUNT_##symbol,
     CW_COUNTER_TABLE(CW_COUNTER_SYMBOL)
 #undef CW_COUNTER_SYMBOL
         CW_COUNT_TOTAL
@@ -52,7 +52,7 @@
 
 enum { CW_COUNT_CODES_MAX = 96 };
 
-/* Counters of one node.  Zero-initialise. */
+/* Counters of one VM.  Zero-initialise. */
 struct cw_counters {
     uint64_t named[CW_COUNT_TOTAL];
     uint64_t by_code[CW_COUNT_CODES_MAX];
--- a/include/curlewcart/cw_routing.h
+++ b/include/curlewcart/cw_routing.h
@@ -39,7 +39,7 @@
 struct cw_service {
     char *name;
     bool enforces_capacity; /* its workers refuse a run that does not fit */
-    bool standby;           /* its machines are switched off */
+    bool powered_off;       /* its machines are switched off; unused */
 };
 
 /* A configuration. */
--- a/src/base/cw_count.c
+++ b/src/base/cw_count.c
@@ -5,18 +5,18 @@
 
 static const struct {
     const char *name;
-    const char *text;
+    const char *help;
 } counter_table[] = {
-#define CW_COUNTER_ROW(symbol, name, text) {name, text},
+#define CW_COUNTER_ROW(symbol, name, help) {name, help},
     CW_COUNTER_TABLE(CW_COUNTER_ROW)
 #undef CW_COUNTER_ROW
 };
 
 static const struct {
     const char *name;
-    const char *text;
+    const char *help;
 } latency_table[] = {
-#define CW_LATENCY_ROW(symbol, name, text) {name, text},
+#define CW_LATENCY_ROW(symbol, name, help) {name, help},
     CW_LATENCY_TABLE(CW_LATENCY_ROW)
 #undef CW_LATENCY_ROW
 };
@@ -60,13 +60,13 @@
             out,
             "# HELP curlewcart_%s %s\n# TYPE curlewcart_%s counter\n"
             "curlewcart_%s %" G_GUINT64_FORMAT "\n",
-            counter_table[i].name, counter_table[i].text,
+            counter_table[i].name, counter_table[i].help,
             counter_table[i].name, counter_table[i].name,
             ck_pr_load_64(&counters->named[i]));
     }
     for (size_t i = 0; i < CW_LATENCY_TOTAL; i++) {
         cw_histogram_print(&counters->latency[i], latency_table[i].name,
-                           latency_table[i].text, out);
+                           latency_table[i].help, out);
     }
     g_string_append(out, "# HELP curlewcart_reason_total events by result "
                          "code\n# TYPE curlewcart_reason_total counter\n");
--- a/src/base/cw_status_names.c
+++ b/src/base/cw_status_names.c
@@ -1,5 +1,6 @@
-/* Names of the statuses of the store and the workers, and of kinds of ends,
- * for logs. */
+/* Names of the statuses of the store and the workers, and of the ways in which
+ * a run ends, for logs.  The latter are also the names in the workers'
+ * protocol. */
 #include <glib.h>
 
 #include "curlewcart/cw_store.h"
--- a/src/log_analysis/log_analysis.c
+++ b/src/log_analysis/log_analysis.c
@@ -20,7 +20,7 @@
     char *event;
     char *rest;         /* from the event to the end of the line */
     GHashTable *fields; /* key -> value */
-    guint order;        /* in which lines were added; sorts lines with equal
+    guint order;        /* sequence number; sorts lines with equal
                            timestamps */
 };
 
@@ -196,7 +196,8 @@
 /* The log lines that explain a request's outcome and its delay. */
 struct request {
     const struct line *first;
-    const struct line *refused; /* last submission that was not stored */
+    /* Last submit line whose outcome is neither stored nor known. */
+    const struct line *refused;
     const struct line *stored;
     const struct line *taken; /* first job_taken line, by the first owner */
     const struct line *ended;
--- a/src/owner/internal/owner_candidates.h
+++ b/src/owner/internal/owner_candidates.h
@@ -16,7 +16,8 @@
     unsigned fits; /* tasks of the step that fit on the worker */
     /* Workers of its rack with lower-priority runs. */
     unsigned rack_lower_priority_workers;
-    /* owner_target_neighbour_weight; only set for a suspect's step. */
+    /* Result of owner_target_neighbour_weight if the step has tasks that are
+     * suspected of crashing workers, otherwise 0. */
     unsigned neighbour_weight;
 };
 
--- a/src/owner/owner_at_most_once.c
+++ b/src/owner/owner_at_most_once.c
@@ -1,9 +1,12 @@
 /* At-most-once jobs, which must not be begun a second time.
  *
  * A task is not started again after a start that may have been carried out.
- * It may be retried if it certainly did not work: the worker refused the
- * start, a worker that has received a higher fencing token does not report the
- * run, or a member of its gang was never started. */
+ * It may be retried only if the earlier run certainly executed nothing: the
+ * worker refused the start, a worker that has received a higher fencing token
+ * does not report the run, or a member of its gang was never started.
+ *
+ * Also limits the accelerators that such jobs may occupy, as they cannot be
+ * preempted. */
 #include "owner/internal/owner_private.h"
 
 #include <string.h>
@@ -27,9 +30,8 @@
                         GSIZE_TO_POINTER(before + accelerators));
 }
 
-/* Number of accelerators of the service's workers; adds to
- * `unpreemptible`, by account,
- * those of runs that cannot be preempted. */
+/* Number of accelerators of the service's workers; adds to `unpreemptible`, by
+ * account, those of runs that cannot be preempted. */
 static int64_t
 count_accelerators(const struct cw_owner *owner, const char *service,
                    GHashTable *unpreemptible)
--- a/src/replica/follower.c
+++ b/src/replica/follower.c
@@ -40,7 +40,8 @@
     bool failing; /* the last call failed, which was logged */
     bool at_end;
     bool long_poll; /* the last read sent waits at the store for a record */
-    char *after;
+    char *after;    /* key after which the load's next page starts; NULL: first
+                       page */
     bool resume_offset_known;
     uint64_t resume_offset; /* end of the partition at the load's first page */
     uint64_t position;
--- a/src/settings/settings.c
+++ b/src/settings/settings.c
@@ -157,8 +157,9 @@
     }
 }
 
-/* Checks that a VM serves either the platform's callers or the project's own
- * interface, not both: each of the two has its own configuration. */
+/* Checks that exactly one of listen.callers (the platform's interface) and
+ * listen.api (the project's own) is set, with the settings that each of them
+ * requires. */
 static void
 check_interface(const struct cw_settings *settings, GString *problems)
 {
--- a/src/vm/internal/vm_private.h
+++ b/src/vm/internal/vm_private.h
@@ -32,7 +32,7 @@
     struct cw_relay *relay;
     struct cw_targets *targets;
     struct cw_replica *replica;
-    struct cw_follower *routing;
+    struct cw_follower *routing_follower;
     struct cw_cordons *cordons; /* NULL with the project's own interface */
     struct cw_load_gate load_gate;
     struct cw_entry *entry;
--- a/src/vm/vm.c
+++ b/src/vm/vm.c
@@ -36,7 +36,8 @@
     /* Descriptors that the platform specifies as unavailable for sockets. */
     RESERVED_DESCRIPTORS = 200,
     /* Share of the other descriptors for connections to workers and the
-     * store; callers' connections get the rest. */
+     * store; the rest is left for callers' connections, which have a limit of
+     * their own, see CALLER_CONNECTIONS_MAX in vm_listen.c. */
     CLIENT_SHARE_NUMERATOR = 7,
     CLIENT_SHARE_DENOMINATOR = 8,
     /* Ended jobs are kept for longer than the platform requires, so that
@@ -175,8 +176,8 @@
             cw_time_set_earlier(&next, cw_api_tick(vm->api, now));
         }
         else {
-            cw_follower_tick(vm->routing, now);
-            cw_time_set_earlier(&next, cw_follower_due(vm->routing));
+            cw_follower_tick(vm->routing_follower, now);
+            cw_time_set_earlier(&next, cw_follower_due(vm->routing_follower));
         }
         cw_entry_set_isolated(vm->entry, cw_relay_is_isolated(vm->relay));
         cw_time_set_earlier(&next, cw_entry_tick(vm->entry, now));
@@ -321,8 +322,8 @@
     g_free(member);
     if (settings->api == NULL) {
         routing.store = store;
-        vm->routing = cw_follower_create(&routing);
-        cw_cordons_set_follower(vm->cordons, vm->routing);
+        vm->routing_follower = cw_follower_create(&routing);
+        cw_cordons_set_follower(vm->cordons, vm->routing_follower);
     }
     vm->handler.entry = vm->entry;
     vm->handler.engine_lock = &vm->engine_lock;
--- a/src/vm/vm_listen.c
+++ b/src/vm/vm_listen.c
@@ -7,7 +7,10 @@
 #include "vm/internal/vm_private.h"
 
 enum {
-    /* A VM may open at least 4,100 descriptors. */
+    /* Limit on callers' connections; with the project's own interface, the
+     * default of api.connections.  A VM may open at least 4,100 descriptors.
+     * Connections to workers and the store have a limit of their own, see
+     * pool_connections_max in vm.c. */
     CALLER_CONNECTIONS_MAX = 2000,
     READY_CONNECTIONS_MAX = 64,
     API_THREADS_DEFAULT = 2,
--- a/src/work/request.c
+++ b/src/work/request.c
@@ -241,8 +241,9 @@
     step->image = strdup(kind);
 }
 
-/* Decodes a request without a list of steps: one gang of accelerators, each
- * with its share of cores and memory. */
+/* Decodes a request without a list of steps: a number of accelerators, with
+ * cores and memory for each.  They are one task if all must be on one worker,
+ * otherwise a gang of tasks with one accelerator each. */
 static void
 read_single_step(struct reader *reader, struct cw_step_spec *step,
                  const char *kind)
--- a/standins/platform_standin.h
+++ b/standins/platform_standin.h
@@ -20,8 +20,9 @@
     RESTART_CHECK_MS = 20,
     /* Downtime of a worker after a task has crashed it. */
     CRASH_DOWNTIME_MS = 1000,
-    /* Every third worker crashes at the same time.  The time until a worker's
-     * restart is a minimum plus a step per worker, modulo a span. */
+    /* A simultaneous crash affects every third worker.  Worker i restarts
+     * after RESTART_DELAY_MIN_MS + (i * RESTART_DELAY_STEP_MS) %
+     * RESTART_DELAY_SPAN_MS. */
     CRASH_EVERY_NTH = 3,
     RESTART_DELAY_MIN_MS = 50,
     RESTART_DELAY_STEP_MS = 150,
--- a/tests/test_store_model.c
+++ b/tests/test_store_model.c
@@ -1,4 +1,4 @@
-/* Tests of the emulator's store: properties that the product depends on,
+/* Tests of the emulator's store: properties that the scheduler depends on,
  * namely fenced writers, repeated appends, newest records, and the group. */
 #include "test_main.h"
 
--- a/tests/test_world.c
+++ b/tests/test_world.c
@@ -230,7 +230,7 @@
 }
 
 /* Regression test: seeds that led to a violation, each with the cause, a fault
- * of the checker, of the emulator's load, or of the product. */
+ * of the checker, of the emulator's load, or of the scheduler. */
 static void
 test_regression_seeds(void)
 {
